--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,9 +1,9 @@
-// Every decision of snowknot. The interface is include/snowknot/gateway.hpp.
+// Makes every decision of a gateway. The interface is include/snowknot/gateway.hpp.
 //
-// Sections, as a request meets them: 1 settings (window, limit), 2 lease book (units, calls, who waits),
-// 3 server table, 4 choice, 5 attempts (sends, final answers), 6 timers (alarms, sweep, probes).
-// Time comes with each event, random numbers from the seed alone. Where order reaches an action, containers
-// are ordered; hash tables are for look-up only.
+// Sections, in the order in which a request passes them: 1 settings (windows, limits), 2 lease book (units,
+// counter calls, waiting requests), 3 server table, 4 server choice, 5 attempts (sends, final answers), 6
+// timers (timeouts, housekeeping, probes). Time comes with each event, random numbers only from the seed.
+// Where iteration order affects actions, containers are ordered; hash tables serve look-ups only.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -22,327 +22,324 @@
 
 using namespace std::chrono_literals;
 
-// ---- Tuned values: each with its unit and reason --------------------------------------------------
-constexpr Duration kLongestCount = 60s;  // the counter keeps no name for longer
-constexpr double kQuantumRequests = 4;   // "a few requests' units" in one lease
-constexpr Duration kAheadSpan = 10s;     // how far ahead reserves are leased: outlasts most outages
-constexpr std::int64_t kAheadMost = 16;  // windows ahead at most: bounds the table and the calls
-constexpr double kAheadPart = 1.25;      // of the customer's pace: some more, as arrivals are uneven
-constexpr double kAheadStep = 0.5;       // part of the quantum that must be missing before a call is made
-constexpr double kAheadPace = 0.4;       // requests a window here from which a customer counts as steady
-constexpr double kFirstCall = 0.05;  // part of the counter's time-out that a call takes, before one was seen
-constexpr double kSlowCall = 0.3;    // part of the counter's time-out past which an answer shows a line there
-constexpr double kSlowCallWide = 0.2;  // the same in a wide fleet: more join the line before one is seen
-constexpr double kCallRise = 0.2;  // of the fair rate, added for each quick answer while calls are held back
-constexpr double kCallCut = 0.3;   // part of the rate taken off for a call that failed; less for a slow one
-constexpr double kCallLeast = 0.25;  // of the fair rate, however bad: the fleet together then leaves it room
-constexpr double kCallsSaved = 3;    // calls that can be saved up at least
-constexpr Duration kCallSpan = 100ms;   // and the span over which more are
-constexpr int kCounterStrikes = 3;      // failed calls in a row before the counter is held to be down
-constexpr Duration kCalm = 500ms;       // without a call turned away or overdue, before reserves are leased
-constexpr Duration kRestarted = 500ms;  // an outage as long may have been a restart: counts may be gone
-constexpr double kCounterRetry = 2;     // trial calls to a counter that is down: one in so many time-outs
-constexpr Duration kUseMemory = 20s;    // over which a customer's own tries here, and its use, are remembered
-constexpr double kShutLeast = 0.05;  // part of a window in which a spent store is not asked again
-constexpr double kUnitSlop = 1e-6;   // totals come rounded to seven digits
-constexpr double kCountSlop = 2e-3;  // or to thousandths: less than that is missing from no count
-constexpr double kLatencyGain = 0.07;       // EWMA gain per answer: about the last 14, as work varies a lot
-constexpr double kHealthGain = 0.2;         // EWMA gain of success per outcome: five failures show clearly
-constexpr double kWideHealthGain = 0.4;     // the same in a wide fleet: as two do, where each sees few
-constexpr double kSickBelow = 0.4;          // success EWMA under which a server is ejected
-constexpr Duration kFirstEjection = 400ms;  // first time out of the choice; doubles while it goes on failing
-constexpr Duration
-    kWideEjection = 2s;  // the same in a wide fleet: each sends a server one request in so long
-constexpr Duration kLongestEjection = 5s;  // longer would waste a server that came back
-constexpr Duration kRateMemory = 4s;       // over which own answers a second are averaged
-constexpr double kFirstPerServer = 5;      // in flight per server, fleet-wide, before anything is learned
-constexpr double kLeastBound = 0.1;  // own requests in flight: fewer would never show that servers recovered
-constexpr double kLateShare = 0.6;  // an answer past this part of its aim says that the servers hold too many
-constexpr double kBoundCut = 0.1;   // part of the bound taken off for each such answer: halved in about 7
-constexpr double kBoundRise = 0.15;  // requests added for each answer in good time at a used bound
-constexpr double kBoundUsed = 0.8;   // "nearly used"
-constexpr double
-    kBoundBack = 0.02;  // part added for each other answer, up to the first bound: a sixth may be late
-constexpr std::uint32_t
-    kWideFleet = 15;                    // gateways past which each has a part of the servers, met by so many
-constexpr std::size_t kNearLeast = 12;  // servers in a part at least
-constexpr double kWideWindow = 0.5;     // wide fleet: a window, of the time in which an empty store fills
-constexpr double kWideStart = 0.5;      // of the limit, what the store is thought to hold where one begins,
-constexpr double kWideStartMore = 0.5;  // with so much of a request, as what is left over of one serves none
-constexpr double kWideInflow = 0.4;     // of the rate, how fast it is thought to fill in it
-constexpr double kColdPush = 1.2;  // wide fleet: a cold server's share, against its warmth times a warm one's
-constexpr Duration kSteadyMemory = 30s;  // and for how long what a warm one was sent is remembered
-constexpr double kColdFirst = 0.3;       // wide fleet: of its cost, for a cold server that has earned a send
-constexpr Duration
-    kOwnSpan = 4s;  // wide fleet: own sends that are remembered, to go round the servers evenly
-constexpr double kWideGain = 0.15;  // and the gain per answer there, as they come seldom
-constexpr Duration
-    kSlowMemory = 10s;  // and over which a server that is not sent to is held for as good as others
-constexpr double kParkShare = 0.3;  // part of the aim that a request may wait for a place; later is too late
-constexpr double kRetryEarn = 0.1;  // further attempts earned per request: keeps retries under a tenth
-constexpr double kRetryMost = 10;   // and how many can be saved up
-constexpr double kZoneWeight = 20;  // how strongly the price of crossing zones weighs in the choice
-constexpr Duration kLogGap = 10s;   // a server that comes and goes is told of once in so long
-constexpr Duration kSweep = 250ms;  // period of the housekeeping
-
-// A count of events that forgets: each weighs e^-1 after `span`.
-struct Recent {
+// ---- Constants ---------------------------------------------------------------------------------------
+constexpr Duration kMaxCountLifetime = 60s;      // the counter keeps no count for longer
+constexpr double kLeaseRequests = 4;             // requests' worth of units in one lease
+constexpr Duration kReserveHorizon = 10s;        // how far ahead reserves are leased: outlasts most outages
+constexpr std::int64_t kMaxReserveWindows = 16;  // bounds the tables and the calls
+constexpr double kReserveFactor = 1.25;          // of the customer's demand: headroom, as arrivals are uneven
+constexpr double kReserveStep = 0.5;             // fraction of the quantum that must be missing before a call
+constexpr double kSteadyRequestRate = 0.4;       // requests a window here from which a customer is steady
+constexpr double kInitialCallFraction = 0.05;    // of the counter's timeout: a call, before one was seen
+constexpr double kSlowCallFraction = 0.3;      // of the counter's timeout: a later answer shows a queue there
+constexpr double kWideSlowCallFraction = 0.2;  // in a wide fleet, where more join before it shows
+constexpr double kCallRateIncrease = 0.2;      // of the fair rate, per quick answer while calls are held back
+constexpr double kCallRateDecrease = 0.3;      // of the rate, per failed call; less for a slow one
+constexpr double kMinCallRate = 0.25;          // of the fair rate: the whole fleet then leaves it headroom
+constexpr double kMinCallBurst = 3;            // calls that can be saved up at least
+constexpr Duration kCallBurstSpan = 100ms;     // span over which more are saved up
+constexpr int kCounterDownFailures = 3;        // consecutive failed calls: the counter is down
+constexpr Duration kReserveQuiet = 500ms;      // without refused or overdue calls before reserves are leased
+constexpr Duration kMinRestartOutage = 500ms;  // an outage as long may be a restart that lost counts
+constexpr double kCounterRetryEvery = 2;       // timeouts per trial call to a counter that is down
+constexpr Duration kCustomerMemory = 20s;      // how long a customer's requests and demand are remembered
+constexpr double kMinEmptyFraction = 0.05;     // of a window in which an empty bucket is not asked again
+constexpr double kUnitEpsilon = 1e-6;          // totals are rounded to seven digits
+constexpr double kCountEpsilon = 2e-3;         // or to thousandths: a smaller difference is no lost count
+constexpr double kLatencyGain = 0.07;         // EWMA gain per answer: about the last 14, as work varies a lot
+constexpr double kSuccessGain = 0.2;          // EWMA gain per outcome: five failures show clearly
+constexpr double kWideSuccessGain = 0.4;      // in a wide fleet two do, as each gateway sees few
+constexpr double kEjectBelowSuccess = 0.4;    // success rate under which a server is ejected
+constexpr Duration kInitialEjection = 400ms;  // doubles while the server goes on failing
+constexpr Duration kWideInitialEjection = 2s;  // in a wide fleet a server gets one request of each in so long
+constexpr Duration kMaxEjection = 5s;          // longer would waste a recovered server
+constexpr Duration kRateSpan = 4s;             // averaging span of answers and arrivals a second
+constexpr double kInitialPerServer = 5;        // in flight per server, fleet-wide, before answers are known
+constexpr double kMinInFlightLimit = 0.1;      // own requests: fewer would never show that servers recovered
+constexpr double kLateFraction = 0.6;          // of the aim: a later answer shows overloaded servers
+constexpr double kLimitDecrease = 0.1;         // of the limit, per late answer: halved in about 7
+constexpr double kLimitIncrease = 0.15;        // requests, per answer in time while the limit is used
+constexpr double kLimitUsedFraction = 0.8;     // of the limit from which it counts as used
+constexpr double kLimitRecovery = 0.02;      // per other answer, up to the initial limit: a sixth may be late
+constexpr std::uint32_t kWideFleet = 15;     // above it a gateway uses a subset of servers, used by so many
+constexpr std::size_t kMinSubsetSize = 12;   // servers
+constexpr double kWideWindowFraction = 0.5;  // wide fleet: a window, of the time to fill an empty bucket
+constexpr double kWideStartFraction = 0.5;   // of the limit, assumed in the bucket as one begins, plus
+constexpr double kWideStartRequests = 0.5;   // so much of the largest request, as less than one serves none
+constexpr double kWideRefillFraction = 0.4;  // of the rate, assumed to flow in during a window
+constexpr double kColdShareFactor = 1.2;     // wide fleet: on the warm-up share of a cold server
+constexpr Duration kSteadyRateSpan = 30s;    // how long the rate of a warm server is remembered
+constexpr double kColdCostFactor = 0.3;      // wide fleet: on the cost of a cold server with credit
+constexpr Duration kSendSpan = 4s;           // wide fleet: sends remembered to use all servers evenly
+constexpr double kWideGain = 0.15;           // in a wide fleet, where answers are few
+constexpr Duration kSlownessSpan = 10s;      // wide fleet: in which the slowness of an unused server decays
+constexpr double kQueueFraction = 0.3;       // of the aim that a request may wait; a later send is too late
+constexpr double kRetryTokenRate = 0.1;      // retries earned per request: keeps them under a tenth
+constexpr double kMaxRetryTokens = 10;       // retries that can be saved up
+constexpr double kCrossZoneWeight = 20;      // weight of the price of crossing zones in the choice
+constexpr Duration kEjectionLogInterval = 10s;  // a flapping server is logged once in so long
+constexpr Duration kSweepInterval = 250ms;      // period of the housekeeping
+
+// Counts events with exponential decay: the weight of each falls to e^-1 after `span`.
+struct DecayingCount {
   double sum = 0;
-  Time at{};
-  double count(Time now, Duration span) const { return sum * std::exp(-seconds(now - at) / seconds(span)); }
+  Time last{};
+  double count(Time now, Duration span) const { return sum * std::exp(-seconds(now - last) / seconds(span)); }
   double rate(Time now, Duration span) const { return count(now, span) / seconds(span); }
-  void add(Time now, Duration span) { sum = count(now, span) + 1, at = now; }
+  void add(Time now, Duration span) { sum = count(now, span) + 1, last = now; }
 };
 
 // ---- 1 Settings -----------------------------------------------------------------------------------
 
-// What follows from a plan. Its store holds `limit` units and fills within a `window`, so what it held at a
-// window's start and what flowed in since may be leased in it: up to twice the limit, never over `most`. A
-// span that touches k+1 windows can admit (k+1) times `most` and lasts at least k-1 windows. A ceiling allows
-// ceiling_burst + ceiling_rate * span, so it holds for every k when 2 * most <= ceiling_burst and most <=
-// ceiling_rate * window. ceiling_slack stays as a margin.
-// In a wide fleet few gateways know what a window before left over, and who is refused seldom calls again in
-// time to hand its units back. Stores thought to begin full would give twice the rate to who asks a little
-// more than it, and counts that refused units fill starve who asks much more. So windows are short there, all
-// begin with the same part of the limit and add a part of the rate: what can be had of one is little more
-// than flows in, and most of that at once. Who was idle gets less of a burst than it may.
-struct Terms {
+// Limits that follow from a plan, a token bucket of `limit` units that fills within a `window`. What it held
+// at a window's start and what flowed in since may be leased in it: up to twice the limit, never over
+// `max_leased`. A span that touches k+1 windows can admit (k+1) * max_leased and lasts at least k-1 windows.
+// A ceiling allows ceiling_burst + ceiling_rate * span, so it holds for every k when 2 * max_leased <=
+// ceiling_burst and max_leased <= ceiling_rate * window; ceiling_slack stays as a margin.
+// In a wide fleet few gateways know what the last window left over, and a refused customer seldom calls again
+// in time to return its units. Assuming full buckets would grant twice the rate to a customer that asks for
+// slightly more than it, and counts full of refused units would starve one that asks for much more. So
+// windows are short there, all start at the same fraction of the limit and add a fraction of the rate: each
+// grants little more than flows in, most of it at once. An idle customer gets less than its burst.
+struct Quota {
   bool metered = false, ceiling = false;
-  double limit = 0, most = 0;
-  double rate = 0;    // units a second that flow into a window
-  double start = -1;  // what the store holds as a window begins, whatever was seen; below 0: goes by that
-  Duration window{}, fill{};  // `fill`: an empty store is full after it
+  double limit = 0, max_leased = 0;
+  double rate = 0;                 // units a second that flow into a window
+  double start = -1;               // assumed bucket level as a window begins; below 0: the observed one
+  Duration window{}, fill_time{};  // `fill_time`: of an empty bucket
 };
 
-Terms terms_of(const Plan& p, bool wide = false, double request = 0) {
-  Terms t;
-  t.ceiling = p.ceiling_rate > 0;
+Quota make_quota(const Plan& p, bool wide = false, double request = 0) {
+  Quota q;
+  q.ceiling = p.ceiling_rate > 0;
   double rate = p.rate;
-  t.limit = p.rate > 0 ? p.burst : std::numeric_limits<double>::infinity();
-  if (t.ceiling) {
+  q.limit = p.rate > 0 ? p.burst : std::numeric_limits<double>::infinity();
+  if (q.ceiling) {
     rate = rate > 0 ? std::min(rate, p.ceiling_rate) : p.ceiling_rate;
-    t.limit = std::min(t.limit, p.ceiling_burst / 2);
-  }
-  t.metered = rate > 0;
-  if (!t.metered) return t;
-  t.limit = std::min(t.limit, rate * seconds(kLongestCount - 1s));
-  t.window = t.fill = std::max(from_seconds(t.limit / rate), Duration(1ms));
-  t.rate = t.limit / seconds(t.fill);
-  if (wide) t.window = std::max(scaled(t.fill, kWideWindow), Duration(1ms));
-  if (wide && t.ceiling)  // the largest request must fit into one
-    t.window = std::max(t.window, std::min(from_seconds(request / p.ceiling_rate), t.fill));
-  if (wide) t.start = std::min(t.limit, kWideStart * t.limit + kWideStartMore * request);
-  if (wide) t.rate *= kWideInflow;
-  t.most = (wide ? t.start : t.limit) + t.rate * seconds(t.window);
-  if (t.ceiling) t.most = std::min({t.most, p.ceiling_burst / 2, p.ceiling_rate * seconds(t.window)});
-  return t;
+    q.limit = std::min(q.limit, p.ceiling_burst / 2);
+  }
+  q.metered = rate > 0;
+  if (!q.metered) return q;
+  q.limit = std::min(q.limit, rate * seconds(kMaxCountLifetime - 1s));
+  q.window = q.fill_time = std::max(from_seconds(q.limit / rate), Duration(1ms));
+  q.rate = q.limit / seconds(q.fill_time);
+  if (wide) q.window = std::max(scaled(q.fill_time, kWideWindowFraction), Duration(1ms));
+  if (wide && q.ceiling)  // the largest request must fit into one
+    q.window = std::max(q.window, std::min(from_seconds(request / p.ceiling_rate), q.fill_time));
+  if (wide) q.start = std::min(q.limit, kWideStartFraction * q.limit + kWideStartRequests * request);
+  if (wide) q.rate *= kWideRefillFraction;
+  q.max_leased = (wide ? q.start : q.limit) + q.rate * seconds(q.window);
+  if (q.ceiling)
+    q.max_leased = std::min({q.max_leased, p.ceiling_burst / 2, p.ceiling_rate * seconds(q.window)});
+  return q;
 }
 
 // ---- 2 Lease book ---------------------------------------------------------------------------------
-// Invariants: units are spent in the window they were leased in, or without a ceiling in the next; at most
-// one call out per name; what all gateways lease of one window never passes `most` while the counter keeps
-// count, and its reserve, which has a count of its own, never the limit. Under a ceiling a reserve is spent
-// only in windows in which nothing else could be leased.
+// Invariants: units are spent in the window they were leased in or, without a ceiling, in the next; at most
+// one call per count is in flight; what all gateways lease of a window never exceeds `max_leased` while the
+// counter keeps its counts, and its reserve, which has a count of its own, never the limit. Under a ceiling a
+// reserve is spent only in windows of which nothing else could be leased.
 
-struct Units {
+struct WindowUnits {
   double held = 0;
-  double added = 0;     // own net amount known to be in the count
-  double owed = 0;      // of timed-out adds: taken off at the next call; below 0: to be added then
-  bool credit = false;  // a request has passed before its units were leased
-  double doubt = 0;     // what adds without an answer would have added since the last total
-  double seen = 0;      // that total, with what is known to have been added since
-  Time seen_at{};       // when it came
-  bool empty = false;   // a reserve of which no units are left
-  Time shut{};          // until then nothing can be had of the present window
-  double lacked = 0;    // units of the request that the last answer had no room for; 0: it had room
+  double added = 0;          // own net amount known to be in the count
+  double owed = 0;           // excess: taken off the count at the next call; below 0: added
+  bool credit_used = false;  // a request was admitted before its units were leased
+  double unconfirmed = 0;    // unanswered adds since the last total
+  double known_total = 0;    // the last total, with what is known to be added since
+  Time total_at{};           // when it came
+  bool empty = false;        // a reserve without units left
+  Time empty_until{};        // nothing can be leased of the window until then
+  double rejected = 0;       // units of the request that the last answer had no room for; 0: none
 };
 
 struct Lease {
   PlanIndex plan{};
   std::int64_t window = std::numeric_limits<std::int64_t>::min();
-  Units now;                               // of the present window
-  std::map<std::int64_t, Units> reserves;  // of it and of windows to come, for an outage of the counter
-  double store = -1;                       // units that the store held at its start; below 0: taken for full
-  double total = -1;                       // of its count, at the last answer; below 0: none came
-  double level = -1;                       // what the store then held, by all that was seen; below 0: full
-  Time level_at{};
-  double units = 1;            // of its last request
-  std::uint32_t gateways = 1;  // that it comes through
-  double asked = 0;            // units asked for here in this window
-  double pace = 0;             // EWMA of that over windows
-  double queued = -1;          // what the call that waits its turn is worth; below 0: none waits
-  bool call_out = false;       // for the present window's name
-  Recent tries;                // here
-  double over = 0;             // what was asked of the last window called for, times its limit
-  Time called_at{};
-  std::uint32_t open = 0;  // requests here that hold a place under their plan's cap
+  WindowUnits units;                             // of the current window
+  std::map<std::int64_t, WindowUnits> reserves;  // of it and later windows, for a counter outage
+  double start_level = -1;                       // bucket level at its start; below 0: assumed full
+  double total = -1;                             // of its count, at the last answer; below 0: none
+  double level = -1;                             // bucket level, as of seen_at; below 0: full
+  Time seen_at{};
+  double last_units = 1;       // of its last request
+  std::uint32_t gateways = 1;  // that the customer comes through
+  double demand = 0;           // units requested here in this window
+  double mean_demand = 0;      // EWMA of that over windows
+  double queued_value = -1;    // of the waiting call; below 0: none waits
+  bool calling = false;        // a call for the current window's count is in flight
+  DecayingCount requests;      // here
+  double demand_ratio = 0;     // demand in the last window called for, relative to its limit
+  Time demand_at{};
+  std::uint32_t open = 0;  // requests here that hold a slot of their plan's cap
   std::deque<RequestId> waiting;
 };
 
-struct Call {
+struct CounterCall {
   CustomerId customer{};
   std::int64_t window = 0;
-  double quantum = 0;  // units wanted; 0: only hands back
-  double amount = 0;   // what was added, owed units taken off
+  double quantum = 0;  // units wanted; 0: only returns units
+  double amount = 0;   // what was added, less owed units
   bool reserve = false;
 };
 
-// How many calls this gateway makes. Invariant: of all that wait, the one worth most is made first. No
-// gateway sees the others: each keeps to a rate of its own, which falls with slow and failed calls and rises
-// with quick ones, from its fair part of a counter that takes one call at a time. Guards against a line at
-// the counter in which calls time out and are worked on for nobody: a large fleet, a surge, a slow counter,
-// one that is down. It can hurt when single answers are slow without a line.
-struct CounterPace {
+// Limits the rate of counter calls; the waiting call of the highest value goes first. Gateways do not see
+// each other's calls, so each adapts a rate of its own: it falls with slow and failed calls, rises with quick
+// ones and starts at the fair share of a counter that takes one call at a time. Prevents a queue at the
+// counter in which calls time out and are processed for nobody: in a large fleet or a surge, with a slow or
+// failed counter. It costs throughput when single answers are slow without a queue.
+struct CallPacer {
   Duration timeout{};
-  double fleet = 1, slow = kSlowCall, fastest = 0;  // seconds: the quickest answer so far
-  double rate = 0, saved = 0;                       // calls a second; calls that may be made now
-  Time saved_at{}, cut_at{}, struck_at{}, crowded_at{}, down_since{};
-  std::set<std::pair<double, CustomerId>> waiting;  // by what the call is worth, 0 to 1
-  int strikes = 0;
+  double fleet_size = 1, slow_fraction = kSlowCallFraction, fastest = 0;  // seconds
+  double rate = 0, tokens = 0;  // calls a second; calls that may be made now
+  Time refilled_at{}, decreased_at{}, failed_at{}, overloaded_at{}, down_since{};
+  std::set<std::pair<double, CustomerId>> waiting;  // by value, 0 to 1
+  int failures = 0;
 
-  CounterPace(Duration limit, double gateways)
+  CallPacer(Duration limit, double gateways)
       : timeout(std::max(limit, Duration(1))),
-        fleet(gateways),
-        slow(gateways > kWideFleet ? kSlowCallWide : kSlowCall),
-        fastest(seconds(timeout) * kFirstCall) {
-    rate = fair();
-    saved = std::min(most(), 1 + rate * seconds(timeout));
-  }
-  bool down() const { return strikes >= kCounterStrikes; }
-  double fair() const { return 1 / std::max(1e-9, fleet * fastest); }
-  double most() const { return std::max(kCallsSaved, rate * seconds(kCallSpan)); }
-  // What must be saved up for a call: the less it is worth, the more is left for others.
-  double needed(double value) const { return 1 + (1 - value) * (most() - 1) / 2; }
-  bool may_call(double value) const { return saved >= needed(down() ? 1 : value); }
-  bool spare() const { return waiting.empty() && may_call(0); }
-  Duration wait_for(double value) const { return from_seconds(std::max(0.0, needed(value) - saved) / rate); }
-  // A call would be waited for longer than a healthy counter takes to answer.
-  bool short_of_calls(double value = 0) const { return wait_for(value) > scaled(timeout, kCounterRetry); }
-
-  void save(Time now) {
-    const auto since = std::exchange(saved_at, now);
-    if (since != Time{}) saved = std::min(most(), saved + rate * seconds(now - since));
-  }
-
-  void learn(Time now, CountOutcome o, Duration took) {
+        fleet_size(gateways),
+        slow_fraction(gateways > kWideFleet ? kWideSlowCallFraction : kSlowCallFraction),
+        fastest(seconds(timeout) * kInitialCallFraction) {
+    rate = fair_rate();
+    tokens = std::min(burst(), 1 + rate * seconds(timeout));
+  }
+  bool down() const { return failures >= kCounterDownFailures; }
+  double fair_rate() const { return 1 / std::max(1e-9, fleet_size * fastest); }
+  double burst() const { return std::max(kMinCallBurst, rate * seconds(kCallBurstSpan)); }
+  // Tokens that a call needs: the lower its value, the more it leaves for others.
+  double needed(double value) const { return 1 + (1 - value) * (burst() - 1) / 2; }
+  bool may_call(double value) const { return tokens >= needed(down() ? 1 : value); }
+  bool has_spare() const { return waiting.empty() && may_call(0); }
+  Duration wait_for(double value) const { return from_seconds(std::max(0.0, needed(value) - tokens) / rate); }
+  // Whether a call would wait for longer than a healthy counter takes to answer.
+  bool is_short(double value = 0) const { return wait_for(value) > scaled(timeout, kCounterRetryEvery); }
+
+  void refill(Time now) {
+    const auto from = std::exchange(refilled_at, now);
+    if (from != Time{}) tokens = std::min(burst(), tokens + rate * seconds(now - from));
+  }
+
+  void record_answer(Time now, CountOutcome o, Duration took) {
     const bool ok = o == CountOutcome::ok || o == CountOutcome::added;
     if (ok) fastest = std::clamp(seconds(took), 1e-5, fastest);
-    if (ok && down()) rate = std::max(rate, fair());
-    // Calls that were out together when a connection broke are one strike: only one made since tells more.
-    if (ok) strikes = 0;
-    if (!ok && now - took >= struck_at) {
-      struck_at = now;
-      if (++strikes == kCounterStrikes) down_since = now;
+    if (ok && down()) rate = std::max(rate, fair_rate());
+    // Calls in flight together when a connection broke are one failure: only a call made since tells more.
+    if (ok) failures = 0;
+    if (!ok && now - took >= failed_at) {
+      failed_at = now;
+      if (++failures == kCounterDownFailures) down_since = now;
     }
-    const double part = ok ? seconds(took) / seconds(timeout) : 1.0;
-    if (o == CountOutcome::refused || took >= timeout) crowded_at = now;
-    if (part < slow) {
-      if (!spare()) rate += kCallRise * fair();
-    } else if (now - took >= cut_at) {  // one cut for all calls made before the last one
-      rate *= 1 - kCallCut * std::min(1.0, (part - slow) / (1 - slow));
-      cut_at = now;
+    const double fraction = ok ? seconds(took) / seconds(timeout) : 1.0;
+    if (o == CountOutcome::refused || took >= timeout) overloaded_at = now;
+    if (fraction < slow_fraction) {
+      if (!has_spare()) rate += kCallRateIncrease * fair_rate();
+    } else if (now - took >= decreased_at) {  // one decrease for all calls made before the last one
+      rate *= 1 - kCallRateDecrease * std::min(1.0, (fraction - slow_fraction) / (1 - slow_fraction));
+      decreased_at = now;
     }
-    rate = std::max(rate, kCallLeast * fair());
+    rate = std::max(rate, kMinCallRate * fair_rate());
     if (!down()) return;
-    rate = std::min(fair(), 1 / (kCounterRetry * seconds(timeout)));  // for trials
-    saved = std::min(saved, 0.0);
+    rate = std::min(fair_rate(), 1 / (kCounterRetryEvery * seconds(timeout)));  // for trial calls
+    tokens = std::min(tokens, 0.0);
   }
 };
 
 struct LeaseBook {
-  explicit LeaseBook(const Settings& s) : pace(s.counter_timeout, s.fleet_size) {
+  explicit LeaseBook(const Settings& s) : pacer(s.counter_timeout, s.fleet_size) {
     const bool wide = s.counter && s.fleet_size > kWideFleet;
-    for (const auto& p : s.plans) terms.push_back(terms_of(p, wide, s.max_units));
+    for (const auto& p : s.plans) quotas.push_back(make_quota(p, wide, s.max_units));
     on_credit.assign(s.plans.size(), 0.0);
   }
-  std::vector<Terms> terms;
-  std::vector<double> on_credit;  // by plan: units passed before they were leased, not yet in any count
+  std::vector<Quota> quotas;
+  std::vector<double> on_credit;  // by plan: units admitted before they were leased, not yet counted
   std::map<CustomerId, Lease> leases;
-  std::map<CountName, Call> calls;
-  CounterPace pace;
-  Time lost_at = Time::min();  // when the counter was last seen to have lost counts
+  std::map<CountName, CounterCall> calls;
+  CallPacer pacer;
+  Time lost_at = Time::min();  // when the counter last lost counts
 
-  // Windows are staggered by customer so that rolls do not crowd the counter.
-  Duration offset(CustomerId c, const Terms& t) const {
+  // Windows are staggered by customer so that their rollovers do not crowd the counter.
+  Duration offset(CustomerId c, const Quota& q) const {
     return Duration(static_cast<Duration::rep>(mix(static_cast<std::uint64_t>(c)) %
-                                               static_cast<std::uint64_t>(t.window.count())));
+                                               static_cast<std::uint64_t>(q.window.count())));
   }
-  std::int64_t window_at(Time now, CustomerId c, const Terms& t) const {
-    return (now.time_since_epoch() + offset(c, t)) / t.window;
+  std::int64_t window_at(Time now, CustomerId c, const Quota& q) const {
+    return (now.time_since_epoch() + offset(c, q)) / q.window;
   }
-  Time window_end(CustomerId c, const Terms& t, std::int64_t w) const {
-    return Time((w + 1) * t.window - offset(c, t));
+  Time window_end(CustomerId c, const Quota& q, std::int64_t w) const {
+    return Time((w + 1) * q.window - offset(c, q));
   }
-  static CountName name_of(CustomerId c, std::int64_t w) {
+  static CountName count_name(CustomerId c, std::int64_t w) {
     return CountName(mix(mix(static_cast<std::uint64_t>(c)) ^ static_cast<std::uint64_t>(w)) >> 1);
   }
   static CountName reserve_of(CustomerId c, std::int64_t w) {
-    return CountName(mix(static_cast<std::uint64_t>(name_of(c, w))) >> 1);
-  }
-  static double store_of(const Lease& l, const Terms& t) {
-    return t.start >= 0 ? t.start : l.store < 0 ? t.limit : l.store;
-  }
-  // What may have been leased of the present window by now.
-  double limit_at(Time now, CustomerId c, const Lease& l) const {
-    const auto& t = at(terms, l.plan);
-    const auto gone = std::clamp(t.window - (window_end(c, t, l.window) - now), Duration{}, t.window);
-    return std::min(t.most, store_of(l, t) + flown_in(gone, t));
-  }
-  static double flown_in(Duration d, const Terms& t) { return t.rate * seconds(d); }
-  // What the store holds, as far as was seen here. A count alone doesn't tell: a store that was full and not
-  // used for most of a window holds the limit then, not that and what flowed in.
-  static double level_of(Time now, const Lease& l, const Terms& t) {
-    return l.level < 0 ? t.limit : std::min(t.limit, l.level + flown_in(now - l.level_at, t));
-  }
-  // With an answer by which others have leased so much since the last one: just now, at a guess, as they look
-  // as often; where it is the first of the window, evenly in it.
-  double level_after(Time now, CustomerId c, const Lease& l, double others) const {
-    const auto& t = at(terms, l.plan);
-    if (t.start >= 0) return t.limit;
-    const auto since = l.total < 0 ? std::max(window_end(c, t, l.window) - t.window, l.level_at) : now;
-    return std::clamp(level_of(since, l, t) + flown_in(now - since, t) - others, 0.0, t.limit);
-  }
-  void roll(Time now, CustomerId c, Lease& l) const {
-    const auto& t = at(terms, l.plan);
-    const auto w = window_at(now, c, t);
-    if (w == l.window) return;
-    const bool next = w == l.window + 1;
-    l.pace = next ? (l.pace + l.asked) / 2 : 0;
-    // What a window's count left over stays in the store; what was leased there and not spent is spent now.
-    const double held = store_of(l, t) + flown_in(t.window, t) - l.total;
-    l.store = next && l.total >= 0 ? std::clamp(held, 0.0, t.limit) : -1;
-    const double left = next && !t.ceiling ? l.now.held : 0;
-    l.asked = 0, l.window = w, l.total = -1;
-    l.reserves.erase(l.reserves.begin(), l.reserves.lower_bound(w));
-    l.now = Units{};
-    l.now.held = left;
-    l.call_out = calls.contains(name_of(c, w));
+    return CountName(mix(static_cast<std::uint64_t>(count_name(c, w))) >> 1);
+  }
+  static double start_level_of(const Lease& lease, const Quota& q) {
+    return q.start >= 0 ? q.start : lease.start_level < 0 ? q.limit : lease.start_level;
+  }
+  // What may have been leased of the current window by now.
+  double allowed_at(Time now, CustomerId c, const Lease& lease) const {
+    const auto& q = at(quotas, lease.plan);
+    const auto elapsed = std::clamp(q.window - (window_end(c, q, lease.window) - now), Duration{}, q.window);
+    return std::min(q.max_leased, start_level_of(lease, q) + refill(elapsed, q));
+  }
+  static double refill(Duration d, const Quota& q) { return q.rate * seconds(d); }
+  // The bucket level as far as this gateway knows. The count alone does not tell: a bucket that was full and
+  // unused for most of a window holds the limit then, not the limit and what flowed in.
+  static double level_of(Time now, const Lease& lease, const Quota& q) {
+    return lease.level < 0 ? q.limit : std::min(q.limit, lease.level + refill(now - lease.seen_at, q));
+  }
+  // The level after an answer that shows `others` leased elsewhere since the last one: assumed to be just
+  // now, as others look as often; at the first answer of a window, spread evenly over it.
+  double level_after(Time now, CustomerId c, const Lease& lease, double others) const {
+    const auto& q = at(quotas, lease.plan);
+    if (q.start >= 0) return q.limit;
+    const auto from = lease.total < 0 ? std::max(window_end(c, q, lease.window) - q.window, lease.seen_at)
+                                      : now;
+    return std::clamp(level_of(from, lease, q) + refill(now - from, q) - others, 0.0, q.limit);
+  }
+  void roll_window(Time now, CustomerId c, Lease& lease) const {
+    const auto& q = at(quotas, lease.plan);
+    const auto w = window_at(now, c, q);
+    if (w == lease.window) return;
+    const bool next = w == lease.window + 1;
+    lease.mean_demand = next ? (lease.mean_demand + lease.demand) / 2 : 0;
+    // What the count left over stays in the bucket; what was leased and not spent is spent now.
+    const double held = start_level_of(lease, q) + refill(q.window, q) - lease.total;
+    lease.start_level = next && lease.total >= 0 ? std::clamp(held, 0.0, q.limit) : -1;
+    const double left = next && !q.ceiling ? lease.units.held : 0;
+    lease.demand = 0, lease.window = w, lease.total = -1;
+    lease.reserves.erase(lease.reserves.begin(), lease.reserves.lower_bound(w));
+    lease.units = WindowUnits{};
+    lease.units.held = left;
+    lease.calling = calls.contains(count_name(c, w));
   }
 };
 
 // ---- 3 Server table -------------------------------------------------------------------------------
-// Invariants: load is the sum of what attempts without outcome added; a server not listed as ready is never
-// chosen; one that is cold is sent no more than its warm-up share of what warm ones answer.
+// Invariants: load is the sum of the work of attempts in flight; a server that is not listed as ready is
+// never chosen; a cold server is sent no more than its warm-up share of what warm ones answer.
 
 struct Server {
   ServerInfo info;
   bool listed = false;
-  std::uint32_t in_flight = 0, out = 0;  // own attempts: that it works on, and all
-  double load = 0;      // expected seconds of work that own attempts keep there
-  double slowness = 1;  // EWMA of latency over what its class takes on average
-  Time slow_at{};       // when that was learnt
-  double sent_sum = 0;  // of when own attempts that are out there were sent, seconds since `sent_base`
-  Time sent_base{};
-  Recent own;          // own sends
-  double share = 1;    // wide fleet: of what a server gets of each gateway, so that all get the same in all
-  double success = 1;  // EWMA of outcomes
+  std::uint32_t in_flight = 0, open = 0;  // own attempts: counted as load; all that are open
+  double load = 0;                        // expected seconds of work of own attempts
+  double slowness = 1;                    // EWMA of latency relative to the mean of its class
+  Time slow_at{};                         // of the last update
+  double sent_time_sum = 0;               // send times of those in flight, seconds since `sent_time_base`
+  Time sent_time_base{};
+  DecayingCount recent_sends;  // own sends
+  double share = 1;            // wide fleet: weight that evens out how many gateways use a server
+  double success = 1;          // EWMA of outcomes
   Time cold_since = Time::min();
   double credit = 0;  // sends a cold server may take, as of credit_at
   Time credit_at{}, ejected_until = Time::min();
   Time first_ejected{};  // for the log only
   Duration ejection{};
-  int misses = 0;        // connects that failed since the last good answer
-  bool probing = false;  // a probe is out
+  int connect_failures = 0;  // failed connects since the last good answer
+  bool probing = false;      // a probe is in flight
 
   bool ready() const { return listed && info.phase == Phase::ready; }
 };
@@ -352,12 +349,12 @@
 struct Attempt {
   ServerId server{};
   Time sent{};
-  double work = 0;  // its part of Server::load
-  Time since{};     // counted there
-  bool counted = false, out = true;
+  double work = 0;       // its share of Server::load
+  Time counted_since{};  // counted there
+  bool counted = false, open = true;
 };
 
-enum class Stage { leasing, parked, sent, ended };
+enum class Stage { leasing, queued, sent, ended };
 
 struct Request {
   ClassIndex cls{};
@@ -368,19 +365,19 @@
   Time arrived{}, deadline{};
   Time alarm = Time::max();
   Stage stage = Stage::leasing;
-  bool repeat = false;  // its client has asked before
-  bool speaks = false;  // its call also adds what its plan has on credit
-  double lot = 0;       // 0 to 2: what must be free of the bound, by chance and by worth
+  bool retry = false;           // by the client
+  bool repays = false;          // its call also adds what its plan has on credit
+  double admission_margin = 0;  // 0 to 2: headroom needed, random and by worth
   bool may_have_run = false;
-  bool unmet = false;       // its last attempt could not connect
-  Time first_run{};         // sending of the first attempt that may have run
-  ServerInfo ran_at;        // where that was
-  std::int64_t window = 0;  // of the units taken
+  bool not_started = false;  // its last attempt reached no server that took it
+  Time first_run_at{};       // when the first attempt that may have run was sent
+  ServerInfo ran_on;         // its server
+  std::int64_t window = 0;   // of the units taken
   bool holds_units = false;
-  bool holds_place = false;  // of those that its plan's cap leaves this gateway
+  bool holds_slot = false;  // of its plan's cap
   std::vector<Attempt> attempts;
 
-  auto out() const { return std::ranges::count(attempts, true, &Attempt::out); }
+  auto open() const { return std::ranges::count(attempts, true, &Attempt::open); }
 };
 
 bool proves_not_run(Outcome o) {
@@ -392,21 +389,24 @@
 class Gateway::Logic {
  public:
   Logic(Settings s, std::uint64_t seed)
-      : set_((validate(s), std::move(s))), rng_(seed), book_(set_), latency_(set_.classes.size(), 0.0) {
-    for (const auto& c : set_.classes) most_worth_ = std::max(most_worth_, c.worth * set_.max_units);
+      : settings_((validate(s), std::move(s))),
+        rng_(seed),
+        book_(settings_),
+        latency_(settings_.classes.size(), 0.0) {
+    for (const auto& c : settings_.classes) max_worth_ = std::max(max_worth_, c.worth * settings_.max_units);
   }
 
   std::vector<Action> handle(Time now, const Event& event) {
     now_ = now;
-    out_.clear();
-    if (set_.discovery_must_ask && !std::exchange(subscribed_, true)) out_.push_back(Subscribe{});
-    book_.pace.save(now_);
+    actions_.clear();
+    if (settings_.discovery_must_ask && !std::exchange(subscribed_, true)) actions_.push_back(Subscribe{});
+    book_.pacer.refill(now_);
     std::visit([this](const auto& e) { on(e); }, event);
-    serve_freed();
-    serve_calls();
-    serve_parked();
-    arm();
-    return std::move(out_);
+    serve_freed_slots();
+    serve_queued_calls();
+    serve_queue();
+    schedule_timer();
+    return std::move(actions_);
   }
 
   TableSizes sizes() const {
@@ -417,262 +417,269 @@
   }
 
  private:
-  const Terms& terms(const Request& r) const { return at(book_.terms, r.plan); }
+  const Quota& quota(const Request& r) const { return at(book_.quotas, r.plan); }
 
-  Duration until_roll(CustomerId c, const Lease& l) const {
-    const auto& t = at(book_.terms, l.plan);
-    return std::max(book_.window_end(c, t, l.window) - now_, Duration(1ms));
+  Duration until_window_end(CustomerId c, const Lease& lease) const {
+    const auto& q = at(book_.quotas, lease.plan);
+    return std::max(book_.window_end(c, q, lease.window) - now_, Duration(1ms));
   }
 
-  // Takes the request's units and sends it on, lets it wait for a lease, or refuses it.
+  // Takes the request's units and dispatches it, queues it for a lease, or refuses it.
   void admit(RequestId id, Request& r) {
-    const auto& plan = at(set_.plans, r.plan);
-    if (!terms(r).metered && plan.max_open == 0) return send_on(id, r);
-    auto& l = book_.leases[r.customer];
-    l.plan = r.plan;
-    if (!terms(r).metered) return take_place(r, l) ? send_on(id, r) : refuse(id, r, back_off());
-    book_.roll(now_, r.customer, l);
-    l.asked += r.units, l.units = r.units, l.gateways = r.gateways;
-    l.tries.add(now_, kUseMemory);
-    if (!set_.counter && l.now.added == 0) {  // nothing to lease from: this gateway's part of the limit
-      l.now.added = 1;
-      l.now.held = std::max(set_.max_units, terms(r).limit / std::max(1u, r.gateways));
-      l.now.shut = now_ + until_roll(r.customer, l);
+    const auto& plan = at(settings_.plans, r.plan);
+    if (!quota(r).metered && plan.max_open == 0) return dispatch(id, r);
+    auto& lease = book_.leases[r.customer];
+    lease.plan = r.plan;
+    if (!quota(r).metered) return take_slot(r, lease) ? dispatch(id, r) : refuse(id, r, back_off());
+    book_.roll_window(now_, r.customer, lease);
+    lease.demand += r.units, lease.last_units = r.units, lease.gateways = r.gateways;
+    lease.requests.add(now_, kCustomerMemory);
+    if (!settings_.counter && lease.units.added == 0) {  // no counter: a share of the limit
+      lease.units.added = 1;
+      lease.units.held = std::max(settings_.max_units, quota(r).limit / std::max(1u, r.gateways));
+      lease.units.empty_until = now_ + until_window_end(r.customer, lease);
     }
-    const bool held = l.waiting.empty() && take(r, l);
-    lease_reserves(r.customer, l);
-    if (held) return send_on(id, r);
-    if (const auto opens = opens_at(r.customer, l, r.units); now_ < opens) return refuse(id, r, opens - now_);
-    if (!has_place(r, l)) return wait_for_place(id, r, l);
-    if (!l.call_out && book_.pace.down() && !book_.pace.may_call(1)) return refuse(id, r, counter_back_off());
-    // One that was refused before is seldom granted. In a wide fleet, where each try costs a call and the
-    // counter may not have one for all, it gets one that nothing else wants.
-    if (!l.call_out && wide() && r.repeat && !book_.pace.spare()) return refuse(id, r, back_off());
-    if (!l.call_out && book_.pace.short_of_calls(call_value(r))) {
-      if (may_pass_on_credit(r, l)) {
-        l.now.credit = take_place(r, l), at(book_.on_credit, r.plan) += r.units;
-        return send_on(id, r);
+    const bool held = lease.waiting.empty() && take_units(r, lease);
+    lease_reserves(r.customer, lease);
+    if (held) return dispatch(id, r);
+    if (const auto due = retry_at(r.customer, lease, r.units); now_ < due) return refuse(id, r, due - now_);
+    if (!has_slot(r, lease)) return wait_for_slot(id, r, lease);
+    if (!lease.calling && book_.pacer.down() && !book_.pacer.may_call(1)) return refuse(id, r, outage_wait());
+    // A retry is seldom granted. In a wide fleet each costs a call, so it only gets a spare one.
+    if (!lease.calling && wide() && r.retry && !book_.pacer.has_spare()) return refuse(id, r, back_off());
+    if (!lease.calling && book_.pacer.is_short(call_value(r))) {
+      if (may_pass_on_credit(r, lease)) {
+        lease.units.credit_used = take_slot(r, lease), at(book_.on_credit, r.plan) += r.units;
+        return dispatch(id, r);
       }
-      if (now_ + book_.pace.wait_for(call_value(r)) >= send_by(r))
-        return refuse(id, r, back_off());  // no call could be had in time
+      if (now_ + book_.pacer.wait_for(call_value(r)) >= send_by(r))
+        return refuse(id, r, back_off());  // no call in time
     }
-    r.speaks = may_pass_on_credit(r, l);
+    r.repays = may_pass_on_credit(r, lease);
     r.stage = Stage::leasing;
-    l.waiting.push_back(id);
+    lease.waiting.push_back(id);
     set_alarm(id, r, std::max(now_, send_by(r)));
-    if (!l.call_out) lease_more(r.customer, l);
+    if (!lease.calling) request_lease(r.customer, lease);
   }
 
-  // A cap on attempts out at once is not part of the escrow: each gateway keeps to its part of it. A request
-  // has its place from when it takes its units, not from its sending: else all that wait for one lease would
-  // pass the cap together.
-  bool is_capped(const Request& r) const { return at(set_.plans, r.plan).max_open > 0; }
-  std::uint32_t places(const Request& r) const {
-    return std::max(1u, at(set_.plans, r.plan).max_open / r.gateways);
+  // A cap on open attempts is not leased: each gateway enforces its share. A request holds its slot from when
+  // it takes its units, not from its sending: else all that wait for one lease would exceed the cap together.
+  bool is_capped(const Request& r) const { return at(settings_.plans, r.plan).max_open > 0; }
+  std::uint32_t slots(const Request& r) const {
+    return std::max(1u, at(settings_.plans, r.plan).max_open / r.gateways);
   }
-  bool has_place(const Request& r, const Lease& l) const { return !is_capped(r) || l.open < places(r); }
-  bool take_place(Request& r, Lease& l) {
-    if (!has_place(r, l)) return false;
-    if (is_capped(r)) ++l.open, r.holds_place = true;
+  bool has_slot(const Request& r, const Lease& lease) const { return !is_capped(r) || lease.open < slots(r); }
+  bool take_slot(Request& r, Lease& lease) {
+    if (!has_slot(r, lease)) return false;
+    if (is_capped(r)) ++lease.open, r.holds_slot = true;
     return true;
   }
-  void give_place(Request& r) {
-    if (!std::exchange(r.holds_place, false)) return;
-    if (auto* l = find(book_.leases, r.customer); l && l->open > 0) --l->open, freed_.insert(r.customer);
+  void release_slot(Request& r) {
+    if (!std::exchange(r.holds_slot, false)) return;
+    if (auto* lease = find(book_.leases, r.customer); lease && lease->open > 0)
+      --lease->open, released_.insert(r.customer);
   }
 
-  // Places come free within an answer's time, so as many wait as can have one before it is too late to send.
-  void wait_for_place(RequestId id, Request& r, Lease& l) {
-    const double in_time = seconds(send_by(r) - now_) / expected(r) * places(r);
-    if (static_cast<double>(l.waiting.size()) + 1 > in_time) return refuse(id, r, back_off());
+  // Slots free up within about an answer's time, so as many wait as can get one while a send is not too late.
+  void wait_for_slot(RequestId id, Request& r, Lease& lease) {
+    const double in_time = seconds(send_by(r) - now_) / expected(r) * slots(r);
+    if (static_cast<double>(lease.waiting.size()) + 1 > in_time) return refuse(id, r, back_off());
     r.stage = Stage::leasing;
-    l.waiting.push_back(id);
+    lease.waiting.push_back(id);
     set_alarm(id, r, std::max(now_, send_by(r)));
   }
-  void serve_freed() {
-    while (!freed_.empty()) {
-      const auto c = freed_.extract(freed_.begin()).value();
-      auto* l = find(book_.leases, c);
-      if (!l || l->waiting.empty()) continue;
-      book_.roll(now_, c, *l);
-      settle_waiting(c, *l);
+  void serve_freed_slots() {
+    while (!released_.empty()) {
+      const auto c = released_.extract(released_.begin()).value();
+      auto* lease = find(book_.leases, c);
+      if (!lease || lease->waiting.empty()) continue;
+      book_.roll_window(now_, c, *lease);
+      serve_waiting(c, *lease);
     }
   }
 
-  bool take(Request& r, Lease& l) {
-    if (!has_place(r, l)) return false;
-    auto& held = l.now.held + kUnitSlop < r.units ? reserve(r.customer, l) : l.now.held;
-    if (held + kUnitSlop < r.units) return false;
+  bool take_units(Request& r, Lease& lease) {
+    if (!has_slot(r, lease)) return false;
+    auto& held = lease.units.held + kUnitEpsilon < r.units ? spendable_units(r.customer, lease)
+                                                           : lease.units.held;
+    if (held + kUnitEpsilon < r.units) return false;
     held -= r.units;
-    r.holds_units = take_place(r, l);
-    r.window = l.window;
+    r.holds_units = take_slot(r, lease);
+    r.window = lease.window;
     return true;
   }
 
-  // What may be spent in place of a lease: nothing while the counter answers. The window in which it went
-  // down may have been leased whole before: there it is for customers that were inside their quota, and for
-  // none under a ceiling. Where one gateway alone is cut off from the counter, its part comes on top of what
-  // the others lease: a ceiling gives that much a window, though not both bursts within half of one.
-  double& reserve(CustomerId c, Lease& l) {
-    const auto& t = at(book_.terms, l.plan);
-    const auto found = l.reserves.find(l.window);
-    const bool begun_since = book_.window_end(c, t, l.window) - t.window >= book_.pace.down_since;
-    if (!book_.pace.down() || found == l.reserves.end() || !(begun_since || (!t.ceiling && l.over <= 1)))
-      return l.now.held;
+  // Units that may be spent: the lease or, while the counter is down, the reserve. The window in which it
+  // went down may have been fully leased before: its reserve serves only customers inside their quota, and
+  // none under a ceiling. Where one gateway alone loses the counter, its share comes on top of what the
+  // others lease: a ceiling allows that much a window, though not both bursts within half of one.
+  double& spendable_units(CustomerId c, Lease& lease) {
+    const auto& q = at(book_.quotas, lease.plan);
+    const auto found = lease.reserves.find(lease.window);
+    const bool began_during_outage = book_.window_end(c, q, lease.window) - q.window >=
+                                     book_.pacer.down_since;
+    if (!book_.pacer.down() || found == lease.reserves.end() ||
+        !(began_during_outage || (!q.ceiling && lease.demand_ratio <= 1)))
+      return lease.units.held;
     return found->second.held;
   }
 
-  // Units that a request leaves over, or lacks if below 0, are held again, within their window.
-  void put_back(const Request& r, double units) {
-    if (auto* l = find(book_.leases, r.customer); l && l->window == r.window) l->now.held += units;
+  // Returns unspent units (if negative, takes missing ones), within their window.
+  void return_units(const Request& r, double units) {
+    if (auto* lease = find(book_.leases, r.customer); lease && lease->window == r.window)
+      lease->units.held += units;
   }
 
-  // What this request is worth, by class and units, against the dearest one there can be.
-  double worth_part(const Request& r) const {
-    return std::clamp(cls(r).worth * r.units / most_worth_, 0.0, 1.0);
+  // Worth of a request by class and units, relative to the most expensive one possible.
+  double worth_of(const Request& r) const {
+    return std::clamp(cls(r).worth * r.units / max_worth_, 0.0, 1.0);
   }
-  // What a call for it is worth: under a ceiling nothing passes without one.
-  double call_value(const Request& r) const { return (terms(r).ceiling + worth_part(r)) / 2; }
+  // Value of a counter call for a request: under a ceiling nothing is admitted without one.
+  double call_value(const Request& r) const { return (quota(r).ceiling + worth_of(r)) / 2; }
 
-  // While calls are short, though the counter answers, a request may pass on credit, before its units are
-  // leased. The next call made for one that might have passed so adds them too: it speaks for all of its
-  // plan, and counts stay true on average. One for a customer, window and gateway, none under a ceiling, and
-  // only if the customer comes here no more often than to a gateway with an even part of its rate, and was
-  // not found over its quota lately. Guards against refusing most of what is inside quotas when the fleet
-  // has outgrown its counter. It hurts where one over its quota comes once to each of many gateways.
-  bool may_pass_on_credit(const Request& r, const Lease& l) const {
-    if (terms(r).ceiling || book_.pace.strikes > 1 || l.now.credit) return false;
-    if (now_ < l.called_at + kUseMemory) return l.over <= 1;
-    return (l.tries.sum - 1) * r.gateways <= at(set_.plans, r.plan).rate * seconds(kUseMemory);
+  // While calls are short but the counter answers, a request may be admitted on credit, before its units are
+  // leased. The next call for a request that could have been adds the credit of its whole plan, so counts
+  // stay right on average. At most one per customer, window and gateway, none under a ceiling, and only if
+  // the customer comes here no more often than an even share of its rate would, and was not found over its
+  // quota lately. Avoids refusing most requests inside quotas when the fleet has outgrown its counter. It
+  // admits too much when a customer over its quota comes once to each of many gateways.
+  bool may_pass_on_credit(const Request& r, const Lease& lease) const {
+    if (quota(r).ceiling || book_.pacer.failures > 1 || lease.units.credit_used) return false;
+    if (now_ < lease.demand_at + kCustomerMemory) return lease.demand_ratio <= 1;
+    return (lease.requests.sum - 1) * r.gateways <=
+           at(settings_.plans, r.plan).rate * seconds(kCustomerMemory);
   }
 
-  // While the counter is down nobody knows for how long: as long again as it has been is the best guess.
-  Duration counter_back_off() const {
-    return std::max(scaled(set_.counter_timeout, kCounterRetry), now_ - book_.pace.down_since);
+  // The rest of an outage is unknown: as long again as it has lasted is the best guess.
+  Duration outage_wait() const {
+    return std::max(scaled(settings_.counter_timeout, kCounterRetryEvery), now_ - book_.pacer.down_since);
   }
 
-  bool begun_before_loss(CustomerId c, const Terms& t, std::int64_t window) const {
-    return book_.window_end(c, t, window) - t.window <= book_.lost_at;
+  bool began_before_loss(CustomerId c, const Quota& q, std::int64_t window) const {
+    return book_.window_end(c, q, window) - q.window <= book_.lost_at;
   }
 
-  void lease_more(CustomerId c, Lease& l) {
-    const auto& t = at(book_.terms, l.plan);
-    // After a loss of counts nobody knows what was leased: windows begun before it stay shut for ceilings.
-    if (t.ceiling && begun_before_loss(c, t, l.window)) {
-      l.now.shut = now_ + until_roll(c, l);
-      return settle_waiting(c, l);
+  void request_lease(CustomerId c, Lease& lease) {
+    const auto& q = at(book_.quotas, lease.plan);
+    // After a loss of counts leased units are unknown: windows that began before it stay closed for ceilings.
+    if (q.ceiling && began_before_loss(c, q, lease.window)) {
+      lease.units.empty_until = now_ + until_window_end(c, lease);
+      return serve_waiting(c, lease);
     }
     double wanted = 0, largest = 1, gateways = 1, value = 0;
-    bool speaks = false;
-    for (const auto id : l.waiting) {
+    bool repays = false;
+    for (const auto id : lease.waiting) {
       const auto& r = requests_.at(id);
       value = std::min(1.0, value + call_value(r));
-      speaks = speaks || r.speaks;
+      repays = repays || r.repays;
       wanted += r.units;
       largest = std::max(largest, r.units);
       gateways = std::max<double>(gateways, r.gateways);
     }
-    auto& pace = book_.pace;
-    if (!pace.may_call(value)) {
-      pace.waiting.erase({std::exchange(l.queued, value), c});
-      return void(pace.waiting.insert({value, c}));
+    auto& pacer = book_.pacer;
+    if (!pacer.may_call(value)) {
+      pacer.waiting.erase({std::exchange(lease.queued_value, value), c});
+      return void(pacer.waiting.insert({value, c}));
     }
-    double few = std::min(kQuantumRequests * largest, t.limit / (2.0 * gateways));
-    if (pace.short_of_calls())
-      few = std::max(few, std::min(l.pace, t.limit / gateways));  // fewer calls, each for a window's pace
-    few = std::floor(few / largest) * largest;  // a part of a request would lie here unspent
-    const double quantum = std::min(std::max({few, wanted - l.now.held, largest}), t.limit);
-    const double extra = speaks ? std::min(std::exchange(at(book_.on_credit, l.plan), 0.0), t.limit) : 0;
-    call(c, l, l.window, quantum, quantum + extra - std::exchange(l.now.owed, 0));
-  }
-
-  void serve_calls() {
-    auto& p = book_.pace;
-    while (!p.waiting.empty() && p.may_call(p.waiting.rbegin()->first)) {
-      const auto c = p.waiting.rbegin()->second;
-      p.waiting.erase(std::prev(p.waiting.end()));
-      auto* l = find(book_.leases, c);
-      if (!l) continue;
-      l->queued = -1;
-      book_.roll(now_, c, *l);
-      settle_waiting(c, *l);
+    double base = std::min(kLeaseRequests * largest, q.limit / (2.0 * gateways));
+    if (pacer.is_short())
+      base = std::max(base, std::min(lease.mean_demand, q.limit / gateways));  // fewer calls
+    base = std::floor(base / largest) * largest;  // a fraction of a request would stay unspent
+    const double quantum = std::min(std::max({base, wanted - lease.units.held, largest}), q.limit);
+    const double extra = repays ? std::min(std::exchange(at(book_.on_credit, lease.plan), 0.0), q.limit) : 0;
+    call_counter(c, lease, lease.window, quantum, quantum + extra - std::exchange(lease.units.owed, 0));
+  }
+
+  void serve_queued_calls() {
+    auto& pacer = book_.pacer;
+    while (!pacer.waiting.empty() && pacer.may_call(pacer.waiting.rbegin()->first)) {
+      const auto c = pacer.waiting.rbegin()->second;
+      pacer.waiting.erase(std::prev(pacer.waiting.end()));
+      auto* lease = find(book_.leases, c);
+      if (!lease) continue;
+      lease->queued_value = -1;
+      book_.roll_window(now_, c, *lease);
+      serve_waiting(c, *lease);
     }
   }
 
-  void call(CustomerId c, Lease& l, std::int64_t window, double quantum, double amount,
-            bool reserve = false) {
-    const auto& t = at(book_.terms, l.plan);
-    const auto name = reserve ? book_.reserve_of(c, window) : book_.name_of(c, window);
-    book_.calls[name] = Call{c, window, quantum, amount, reserve};
-    if (!reserve) l.call_out = true;
-    book_.pace.saved -= 1;
-    const auto life = book_.window_end(c, t, window) - now_ + set_.counter_timeout;
-    out_.push_back(AddToCount{name, amount, std::min(life, kLongestCount)});
-  }
-
-  // Leases for windows to come, to be spent only in an outage of the counter: they carry a customer over one
-  // that is silent, refusing or lost, from its first seconds here on. A count of their own bounds them by the
-  // limit, so that nothing is missing from the window's own count wherever the customer comes; each gateway
-  // takes what was asked for here in a window and some more, an even part at most. Not for one of which
-  // nothing but one request was ever seen, here or in its count. It costs a call for each window, customer
-  // and gateway, so none is made near a sign of a line at the counter, and it may let in twice the limit in a
-  // window without a ceiling in which an outage begins or ends.
-  void lease_reserves(CustomerId c, Lease& l) {
-    const auto& t = at(book_.terms, l.plan);
-    const double asked = std::max(l.pace, l.asked);
-    const bool known = l.pace > 0 || l.asked > l.units || l.total > l.now.added + kCountSlop;
-    const double part = std::floor(t.limit / l.gateways);
-    if (!set_.counter || wide() || !known || book_.pace.strikes > 0 || asked < kAheadPace * l.units)
-      return;  // in a wide fleet each try needs a call, and there are none to spare for these
-    if (part < l.units || !book_.pace.spare() || now_ < book_.pace.crowded_at + kCalm) return;
-    const double wanted = std::max(std::ceil(asked * kAheadPart), kQuantumRequests * l.units);
-    const double quantum = std::min(wanted, part);
-    const auto span = std::min<std::int64_t>(kAheadMost, kAheadSpan / t.window + 1);
-    for (auto w = l.window + 1; w <= l.window + span; ++w) {
-      auto& u = l.reserves[w];
+  void call_counter(CustomerId c, Lease& lease, std::int64_t window, double quantum, double amount,
+                    bool reserve = false) {
+    const auto& q = at(book_.quotas, lease.plan);
+    const auto name = reserve ? book_.reserve_of(c, window) : book_.count_name(c, window);
+    book_.calls[name] = CounterCall{c, window, quantum, amount, reserve};
+    if (!reserve) lease.calling = true;
+    book_.pacer.tokens -= 1;
+    const auto lifetime = book_.window_end(c, q, window) - now_ + settings_.counter_timeout;
+    actions_.push_back(AddToCount{name, amount, std::min(lifetime, kMaxCountLifetime)});
+  }
+
+  // Leases reserves for later windows, to be spent only in a counter outage: they carry a customer over a
+  // silent, refusing or lost counter from its first seconds here. A separate count bounds them by the limit,
+  // so nothing is missing from the window's own count at any gateway; each takes its own demand per window
+  // plus headroom, at most an even share. Customers with only one request seen, here or in the count, get
+  // none. A reserve costs a call per window, customer and gateway, so none is made near a sign of a queue at
+  // the counter; and without a ceiling, a window in which an outage begins or ends may admit twice the limit.
+  void lease_reserves(CustomerId c, Lease& lease) {
+    const auto& q = at(book_.quotas, lease.plan);
+    const double demand = std::max(lease.mean_demand, lease.demand);
+    const bool known = lease.mean_demand > 0 || lease.demand > lease.last_units ||
+                       lease.total > lease.units.added + kCountEpsilon;
+    const double share = std::floor(q.limit / lease.gateways);
+    if (!settings_.counter || wide() || !known || book_.pacer.failures > 0 ||
+        demand < kSteadyRequestRate * lease.last_units)
+      return;  // in a wide fleet each request needs a call, and none are spare
+    if (share < lease.last_units || !book_.pacer.has_spare() ||
+        now_ < book_.pacer.overloaded_at + kReserveQuiet)
+      return;
+    const double wanted = std::max(std::ceil(demand * kReserveFactor), kLeaseRequests * lease.last_units);
+    const double quantum = std::min(wanted, share);
+    const auto span = std::min<std::int64_t>(kMaxReserveWindows, kReserveHorizon / q.window + 1);
+    for (auto w = lease.window + 1; w <= lease.window + span; ++w) {
+      auto& u = lease.reserves[w];
       const double more = quantum - u.held;
-      if (u.empty || more < kAheadStep * quantum || book_.calls.contains(book_.reserve_of(c, w))) continue;
-      return call(c, l, w, more, more - std::exchange(u.owed, 0), true);
+      if (u.empty || more < kReserveStep * quantum || book_.calls.contains(book_.reserve_of(c, w))) continue;
+      return call_counter(c, lease, w, more, more - std::exchange(u.owed, 0), true);
     }
   }
 
   void on(const CountAnswer& e) {
     const auto node = book_.calls.extract(e.name);
     if (!node) return;
-    const Call& done = node.mapped();
-    auto& pace = book_.pace;
-    const bool was_down = pace.down();
-    pace.learn(now_, e.outcome, e.took);
-    if (was_down != pace.down()) log(was_down ? "counter answers again" : "counter held to be down");
-    if (was_down && !pace.down() && now_ > pace.down_since + kRestarted) lost_counts(now_);
+    const CounterCall& done = node.mapped();
+    auto& pacer = book_.pacer;
+    const bool was_down = pacer.down();
+    pacer.record_answer(now_, e.outcome, e.took);
+    if (was_down != pacer.down()) log(was_down ? "counter answers again" : "counter held to be down");
+    if (was_down && !pacer.down() && now_ > pacer.down_since + kMinRestartOutage) record_count_loss(now_);
     if (!book_.leases.contains(done.customer)) return;
-    auto& l = book_.leases[done.customer];
-    book_.roll(now_, done.customer, l);
+    auto& lease = book_.leases[done.customer];
+    book_.roll_window(now_, done.customer, lease);
     if (done.reserve) {
-      if (done.window >= l.window) credit_reserve(done, e, l);
-    } else if (l.window == done.window) {
-      l.call_out = false;
-      credit(done, e, l, l.now);
+      if (done.window >= lease.window) credit_reserve(done, e, lease);
+    } else if (lease.window == done.window) {
+      lease.calling = false;
+      credit_lease(done, e, lease, lease.units);
     }
-    settle_waiting(done.customer, l);
+    serve_waiting(done.customer, lease);
   }
 
-  // Windows under a ceiling stay shut that began before; of their reserves nobody knows the counts any more.
+  // Ceiling windows that began before stay closed; the counts of their reserves are unknown.
   void on(const CountsLost& e) {
-    if (e.at <= book_.lost_at || e.at < now_ - kLongestCount) return;  // or of no window that may be open
+    if (e.at <= book_.lost_at || e.at < now_ - kMaxCountLifetime) return;  // or of no open window
     log("counts are lost, says the store");
-    lost_counts(std::min(e.at, now_));
+    record_count_loss(std::min(e.at, now_));
   }
 
-  void lost_counts(Time since) {
-    book_.lost_at = since;
-    for (auto& [c, l] : book_.leases)
-      if (at(book_.terms, l.plan).ceiling) l.reserves.clear();
+  void record_count_loss(Time from) {
+    book_.lost_at = from;
+    for (auto& [c, lease] : book_.leases)
+      if (at(book_.quotas, lease.plan).ceiling) lease.reserves.clear();
   }
 
-  void credit_reserve(const Call& done, const CountAnswer& e, Lease& l) {
-    const double limit = at(book_.terms, l.plan).limit;
-    auto& u = l.reserves[done.window];
+  void credit_reserve(const CounterCall& done, const CountAnswer& e, Lease& lease) {
+    const double limit = at(book_.quotas, lease.plan).limit;
+    auto& u = lease.reserves[done.window];
     if (e.outcome != CountOutcome::ok) {  // one that timed out may have been added, and is left there
       if (e.outcome != CountOutcome::timeout)
         u.owed = e.outcome == CountOutcome::added ? done.quantum : done.quantum - done.amount;
@@ -681,448 +688,439 @@
     const double excess = std::clamp(e.total - limit, 0.0, done.quantum);
     u.held += done.quantum - excess;
     u.owed += excess;
-    u.empty = e.total >= limit - kUnitSlop;
+    u.empty = e.total >= limit - kUnitEpsilon;
   }
 
-  void credit(const Call& done, const CountAnswer& e, Lease& l, Units& u) {
-    const auto& t = at(book_.terms, l.plan);
+  void credit_lease(const CounterCall& done, const CountAnswer& e, Lease& lease, WindowUnits& u) {
+    const auto& q = at(book_.quotas, lease.plan);
     if (e.outcome != CountOutcome::ok) {
-      // A timed-out add counts as refused and is taken off at the next call. Under a ceiling it is not: were
-      // it never added, taking it off would let the count run past the limit.
+      // A timed-out add counts as refused and is taken off at the next call. Under a ceiling it is not: if it
+      // was never added, taking it off would let the count exceed the limit.
       const bool added = e.outcome == CountOutcome::added;
-      if (added) u.added += done.amount, u.seen += done.amount;
-      if (e.outcome == CountOutcome::timeout && !t.ceiling) u.doubt += done.amount;
+      if (added) u.added += done.amount, u.known_total += done.amount;
+      if (e.outcome == CountOutcome::timeout && !q.ceiling) u.unconfirmed += done.amount;
       const bool maybe_added = added || e.outcome == CountOutcome::timeout;
-      if (added || !t.ceiling) u.owed = maybe_added ? done.quantum : done.quantum - done.amount;
+      if (added || !q.ceiling) u.owed = maybe_added ? done.quantum : done.quantum - done.amount;
       return;
     }
     const double before = u.added;
     u.added += done.amount;
     double total = e.total;
-    if (t.ceiling && begun_before_loss(done.customer, t, done.window)) {  // the count may have begun anew
-      u.shut = book_.window_end(done.customer, t, done.window);
-      return;
-    }
-    const double slop = kUnitSlop * std::max(1.0, std::abs(e.total)) + kUnitSlop;
-    if (total < u.added - slop - kCountSlop) {  // the counter came back without its counts
-      // What was last seen before a loss that is known went with it, and tells of no other.
-      if (u.seen_at >= book_.lost_at) {
-        if (book_.lost_at < now_ - kSweep) log("counter lost its counts");
-        lost_counts(now_);
-      }
-      if (t.ceiling) {
-        u.shut = book_.window_end(done.customer, t, done.window);
-        return;
+    if (q.ceiling && began_before_loss(done.customer, q, done.window))  // the count may have restarted
+      return void(u.empty_until = book_.window_end(done.customer, q, done.window));
+    const double tolerance = kUnitEpsilon * std::max(1.0, std::abs(e.total)) + kUnitEpsilon;
+    if (total < u.added - tolerance - kCountEpsilon) {  // the counter lost its counts
+      // A total seen before a known loss was lost with it and shows no other loss.
+      if (u.total_at >= book_.lost_at) {
+        if (book_.lost_at < now_ - kSweepInterval) log("counter lost its counts");
+        record_count_loss(now_);
       }
+      if (q.ceiling) return void(u.empty_until = book_.window_end(done.customer, q, done.window));
       total += before;  // at least what this gateway had leased is used
-      u.added = e.total, u.doubt = 0;
+      u.added = e.total, u.unconfirmed = 0;
     }
-    // What the total lacks of adds without an answer was never added, and taken off for nothing: it is added
-    // at the next call. Guards against counts that fall behind what is spent while connections break. It can
-    // hurt when another gateway takes off as much meanwhile: then the count runs ahead until the window ends.
-    const double lacks = std::clamp(u.doubt - std::max(0.0, e.total - u.seen - done.amount), 0.0, t.limit);
-    total += lacks;
-    u.doubt = 0, u.seen = e.total;
-    u.seen_at = now_;
-    const double others = total - done.quantum - std::max(0.0, l.total);  // since the last answer
-    const double level = book_.level_after(now_, done.customer, l, others);
-    const double limit = std::min(book_.limit_at(now_, done.customer, l), total - done.quantum + level);
-    const double wanted = l.waiting.empty() ? 1 : requests_.at(l.waiting.front()).units;
+    // What the total lacks of unanswered adds was never added but taken off: the next call adds it. Prevents
+    // counts that lag behind spending while connections break. If another gateway takes off as much
+    // meanwhile, the count runs ahead until the window ends.
+    const double missing = std::clamp(u.unconfirmed - std::max(0.0, e.total - u.known_total - done.amount),
+                                      0.0, q.limit);
+    total += missing;
+    u.unconfirmed = 0, u.known_total = e.total;
+    u.total_at = now_;
+    const double others = total - done.quantum - std::max(0.0, lease.total);  // since the last answer
+    const double level = book_.level_after(now_, done.customer, lease, others);
+    const double limit = std::min(book_.allowed_at(now_, done.customer, lease), total - done.quantum + level);
+    const double wanted = lease.waiting.empty() ? 1 : requests_.at(lease.waiting.front()).units;
     double excess = std::clamp(total - limit, 0.0, done.quantum);
-    if (t.start >= 0 && u.held + done.quantum - excess < wanted - slop) excess = done.quantum;  // of no use
+    if (q.start >= 0 && u.held + done.quantum - excess < wanted - tolerance)
+      excess = done.quantum;  // of no use
     if (done.quantum > 0) {
-      const auto gone = seconds(t.window - until_roll(done.customer, l));
-      l.over = total / t.limit * seconds(t.fill) / std::max(gone, 0.25 * seconds(t.fill));
-      l.called_at = now_;
+      const auto elapsed = seconds(q.window - until_window_end(done.customer, lease));
+      lease.demand_ratio = total / q.limit * seconds(q.fill_time) /
+                           std::max(elapsed, 0.25 * seconds(q.fill_time));
+      lease.demand_at = now_;
     }
     u.held += done.quantum - excess;
-    l.total = total - excess;
-    l.level = t.start >= 0 ? -1 : std::max(0.0, level - (done.quantum - excess)), l.level_at = now_;
-    l.now.lacked = l.total + wanted - limit > kUnitSlop ? wanted : 0;
-    u.owed -= lacks;
-    if (excess <= slop) return;
-    if (excess >= done.quantum - slop || book_.pace.short_of_calls()) return void(u.owed += excess);
-    call(done.customer, l, done.window, 0, -excess - std::exchange(u.owed, 0));
-  }
-
-  // When units may be asked for: at once, or if the last answer had no room for a request, when the store has
-  // filled as far as these need. A smaller one than was refused may have room before; one as large is not
-  // asked for again at once, as what has flowed in belongs to whoever calls first then.
-  Time opens_at(CustomerId c, const Lease& l, double units) const {
-    const auto& t = at(book_.terms, l.plan);
-    if (now_ < l.now.shut || l.now.lacked == 0) return l.now.shut;
-    const auto end = book_.window_end(c, t, l.window);
-    if (l.total + units > t.most + kUnitSlop) return end;
-    const double room = std::min(book_.limit_at(now_, c, l) - l.total, LeaseBook::level_of(now_, l, t));
-    const double lacks = units - room;
-    auto opens = lacks > kUnitSlop ? now_ + from_seconds(lacks / t.rate) + Duration(1ms) : now_;
-    if (units >= l.now.lacked) opens = std::max(opens, l.now.seen_at + scaled(t.window, kShutLeast));
-    return std::min(opens, end);
-  }
-
-  // After an answer: whoever fits passes in order of arrival; the others get one more call or a refusal.
-  void settle_waiting(CustomerId c, Lease& l) {
-    while (!l.waiting.empty()) {
-      const auto id = l.waiting.front();
+    lease.total = total - excess;
+    lease.level = q.start >= 0 ? -1 : std::max(0.0, level - (done.quantum - excess)), lease.seen_at = now_;
+    lease.units.rejected = lease.total + wanted - limit > kUnitEpsilon ? wanted : 0;
+    u.owed -= missing;
+    if (excess <= tolerance) return;
+    if (excess >= done.quantum - tolerance || book_.pacer.is_short()) return void(u.owed += excess);
+    call_counter(done.customer, lease, done.window, 0, -excess - std::exchange(u.owed, 0));
+  }
+
+  // When to ask for units: at once or, after one did not fit, when the bucket has filled enough. A smaller
+  // one may fit earlier; one as large waits a while, as new units go to the first caller.
+  Time retry_at(CustomerId c, const Lease& lease, double units) const {
+    const auto& q = at(book_.quotas, lease.plan);
+    if (now_ < lease.units.empty_until || lease.units.rejected == 0) return lease.units.empty_until;
+    const auto end = book_.window_end(c, q, lease.window);
+    if (lease.total + units > q.max_leased + kUnitEpsilon) return end;
+    const double allowed = std::min(book_.allowed_at(now_, c, lease) - lease.total,
+                                    LeaseBook::level_of(now_, lease, q));
+    const double missing = units - allowed;
+    auto due = missing > kUnitEpsilon ? now_ + from_seconds(missing / q.rate) + Duration(1ms) : now_;
+    if (units >= lease.units.rejected)
+      due = std::max(due, lease.units.total_at + scaled(q.window, kMinEmptyFraction));
+    return std::min(due, end);
+  }
+
+  // After an answer: admits what fits in order of arrival; the rest gets one more call or a refusal.
+  void serve_waiting(CustomerId c, Lease& lease) {
+    while (!lease.waiting.empty()) {
+      const auto id = lease.waiting.front();
       auto& r = requests_.at(id);
-      if (!has_place(r, l)) return;  // goes on when one comes free
-      if (take(r, l)) {
-        l.waiting.pop_front();
-        send_on(id, r);
-      } else if (const auto opens = opens_at(c, l, r.units); now_ < opens) {
-        l.waiting.pop_front();
-        refuse(id, r, opens - now_);
-      } else if (l.call_out) {
+      if (!has_slot(r, lease)) return;  // resumes when a slot is free
+      if (take_units(r, lease)) {
+        lease.waiting.pop_front();
+        dispatch(id, r);
+      } else if (const auto due = retry_at(c, lease, r.units); now_ < due) {
+        lease.waiting.pop_front();
+        refuse(id, r, due - now_);
+      } else if (lease.calling) {
         return;
-      } else if (book_.pace.down()) {
-        l.waiting.pop_front();
-        refuse(id, r, counter_back_off());
+      } else if (book_.pacer.down()) {
+        lease.waiting.pop_front();
+        refuse(id, r, outage_wait());
       } else {
-        return lease_more(c, l);
+        return request_lease(c, lease);
       }
     }
   }
 
   void on(const ListUpdate& e) {
-    if (e.kind == ListKind::failed) return void(subscribed_ = false);  // asked for again with the next event
+    if (e.kind == ListKind::failed) return void(subscribed_ = false);  // retried with the next event
     if (e.kind != ListKind::changes)
       for (auto& [id, s] : servers_) s.listed = false;
     for (const auto& entry : e.entries) {
-      auto [it, fresh] = servers_.try_emplace(entry.id);
+      auto [it, added] = servers_.try_emplace(entry.id);
       auto& s = it->second;
-      const bool restarted = entry.started && (fresh || !s.info.started || *entry.started > *s.info.started);
+      const bool restarted = entry.started && (added || !s.info.started || *entry.started > *s.info.started);
       s.info = entry;
       s.listed = entry.phase != Phase::gone;
-      if (restarted) start_cold(s, *entry.started);
+      if (restarted) start_warmup(s, *entry.started);
     }
-    std::erase_if(servers_, [](const auto& e2) { return !e2.second.listed && e2.second.out == 0; });
-    pick_near();
-  }
-
-  // In a wide fleet each gateway keeps to a part of the servers, the first sound ones in an order of its own,
-  // by rendezvous hashing: it changes with the servers that come and go alone. All know the fleet's size, so
-  // each knows by how many gateways a server is met, and sends it the less the more they are. Where crossing
-  // zones has a price every zone has a part of its own. Guards against connections that grow with gateways
-  // times servers, against learning of each server by too few answers, and of each that is gone by a failure
-  // at every gateway. It hurts while gateways go by different lists.
-  bool wide() const { return set_.fleet_size > kWideFleet; }
-  void pick_near() {
-    near_.clear();
-    near_size_ = 0;
+    std::erase_if(servers_, [](const auto& e2) { return !e2.second.listed && e2.second.open == 0; });
+    select_subsets();
+  }
+
+  // In a wide fleet each gateway uses a subset of the servers, the first healthy ones by rendezvous hashing,
+  // which changes only with servers that come and go. Each computes from the fleet's size how many use a
+  // server and sends it the less the more they are. Where crossing zones has a price each zone has its own
+  // subset. Prevents connections that grow with gateways times servers, too few answers to learn about each
+  // server, and a failure per gateway for each lost one. Load is uneven while lists differ.
+  bool wide() const { return settings_.fleet_size > kWideFleet; }
+  void select_subsets() {
+    subsets_.clear();
+    subset_size_ = 0;
     if (!wide()) return;
     std::map<ZoneIndex, std::vector<Server*>> zones;
     for (auto& [id, s] : servers_)
-      if (s.ready()) zones[set_.cross_zone_price > 0 ? s.info.zone : ZoneIndex{}].push_back(&s);
+      if (s.ready()) zones[settings_.cross_zone_price > 0 ? s.info.zone : ZoneIndex{}].push_back(&s);
     for (auto& [zone, all] : zones) {
-      const auto part = std::max(kNearLeast,
-                                 (all.size() * kWideFleet + set_.fleet_size - 1) / set_.fleet_size);
-      if (part >= all.size()) {
-        near_.push_back({all.size(), all});
-        near_size_ += static_cast<double>(all.size());
+      const auto size = std::max(kMinSubsetSize,
+                                 (all.size() * kWideFleet + settings_.fleet_size - 1) / settings_.fleet_size);
+      if (size >= all.size()) {
+        subsets_.push_back({all.size(), all});
+        subset_size_ += static_cast<double>(all.size());
         for (auto* s : all) s->share = 1;
         continue;
       }
-      std::vector<std::uint32_t> met(all.size());
+      std::vector<std::uint32_t> users(all.size());
       std::vector<std::pair<std::uint64_t, std::size_t>> order(all.size()), own;
-      for (std::uint32_t g = 0; g < set_.fleet_size; ++g) {
+      for (std::uint32_t g = 0; g < settings_.fleet_size; ++g) {
         const auto salt = mix(g);
         for (std::size_t i = 0; i < all.size(); ++i)
           order[i] = {mix(salt ^ static_cast<std::uint64_t>(all[i]->info.id)), i};
-        std::nth_element(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(part), order.end());
-        for (std::size_t i = 0; i < part; ++i) ++met[order[i].second];
-        if (g == set_.index) own = order;
+        std::nth_element(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(size), order.end());
+        for (std::size_t i = 0; i < size; ++i) ++users[order[i].second];
+        if (g == settings_.index) own = order;
       }
       std::sort(own.begin(), own.end());
-      near_size_ += static_cast<double>(part);
-      const double even = static_cast<double>(part) * set_.fleet_size / static_cast<double>(all.size());
-      auto& mine = near_.emplace_back(part, std::vector<Server*>{}).second;
+      subset_size_ += static_cast<double>(size);
+      const double even = static_cast<double>(size) * settings_.fleet_size / static_cast<double>(all.size());
+      auto& subset = subsets_.emplace_back(size, std::vector<Server*>{}).second;
       for (const auto& [score, i] : own) {
-        all[i]->share = even / std::max(1u, met[i]);
-        mine.push_back(all[i]);
+        all[i]->share = even / std::max(1u, users[i]);
+        subset.push_back(all[i]);
       }
     }
   }
 
-  // Slow start. Guards a server that began anew, as the list says or a probe after failed connects. It hurts
-  // where a server was only cut off: it is used too little for a while.
-  void start_cold(Server& s, Time since) {
-    if (now_ - since >= set_.warm_within) return;
-    s.cold_since = std::max(s.cold_since, since);
+  // Slow start after a restart, seen in the list or by a probe. One that was only cut off is underused.
+  void start_warmup(Server& s, Time from) {
+    if (now_ - from >= settings_.warm_within) return;
+    s.cold_since = std::max(s.cold_since, from);
     s.credit = unit_random(), s.credit_at = now_;
-    s.slowness = s.success = 1, s.own = {};
-    s.ejected_until = Time::min(), s.ejection = {}, s.misses = 0;
+    s.slowness = s.success = 1, s.recent_sends = {};
+    s.ejected_until = Time::min(), s.ejection = {}, s.connect_failures = 0;
   }
 
   bool is_cold(const Server& s) const {
-    return s.cold_since != Time::min() && now_ - s.cold_since < set_.warm_within;
+    return s.cold_since != Time::min() && now_ - s.cold_since < settings_.warm_within;
   }
 
-  // What a cold server can do against a warm one, by the slowest warm-up that the settings allow.
-  double warmth(const Server& s) const {
-    const double part = seconds(now_ - s.cold_since) / std::max(1e-9, seconds(set_.warm_within));
-    return set_.start_capacity + (1 - set_.start_capacity) * std::clamp(part, 0.0, 1.0);
+  // Capacity of a cold server relative to a warm one, by the slowest warm-up that the settings allow.
+  double warm_fraction(const Server& s) const {
+    const double fraction = seconds(now_ - s.cold_since) / std::max(1e-9, seconds(settings_.warm_within));
+    return settings_.start_capacity + (1 - settings_.start_capacity) * std::clamp(fraction, 0.0, 1.0);
   }
 
-  // A cold server earns its warm-up share of what this gateway is answered for each server's worth of
-  // capacity (with no warm server: of what comes in for each server); over all gateways that is its share in
-  // all. Its first part is drawn by lot, as in a large fleet each sends a server less than one request in
-  // its warm-up.
-  void earn_credit(Server& s, bool any_warm, double capacity) {
-    double each = any_warm ? answers_.rate(now_, kRateMemory) / capacity
-                           : arrivals_.rate(now_, kRateMemory) / static_cast<double>(servers_.size());
-    if (wide()) each = kColdPush * std::max(each, steady(now_));
-    s.credit = std::min(1.0, s.credit + seconds(now_ - s.credit_at) * each * warmth(s) * s.share);
+  // A cold server earns its warm-up share of the answers here per warm server's capacity (with no warm
+  // server: of the arrivals per server); over all gateways that is its share of the total. Its initial credit
+  // is random, as in a large fleet each gateway sends a server less than one request during its warm-up.
+  void earn_send_credit(Server& s, bool any_warm, double capacity) {
+    double rate = any_warm ? answers_.rate(now_, kRateSpan) / capacity
+                           : arrivals_.rate(now_, kRateSpan) / static_cast<double>(servers_.size());
+    if (wide()) rate = kColdShareFactor * std::max(rate, steady_rate(now_));
+    s.credit = std::min(1.0, s.credit + seconds(now_ - s.credit_at) * rate * warm_fraction(s) * s.share);
     s.credit_at = now_;
   }
 
-  // What a warm server answered this gateway in its better times: when most are gone or cold, what is
-  // answered falls, and the cold ones' share would fall with it.
-  double steady(Time now) const {
-    return steady_ * std::exp(-seconds(now - steady_at_) / seconds(kSteadyMemory));
+  // Recent best answer rate per warm server: with most gone or cold, the share of cold ones would fall too.
+  double steady_rate(Time now) const {
+    return steady_ * std::exp(-seconds(now - steady_at_) / seconds(kSteadyRateSpan));
   }
 
   bool ejected(const Server& s) const { return now_ < s.ejected_until; }
 
-  void eject(Server& s, const char* why) {
-    const auto first = wide() ? kWideEjection : kFirstEjection;
-    s.ejection = std::clamp(s.ejection * 2, first, kLongestEjection);
+  void eject(Server& s, const char* reason) {
+    const auto first = wide() ? kWideInitialEjection : kInitialEjection;
+    s.ejection = std::clamp(s.ejection * 2, first, kMaxEjection);
     s.ejected_until = now_ + s.ejection;
-    if (s.ejection == first && now_ - std::exchange(s.first_ejected, now_) > kLogGap)
-      log("server " + std::to_string(static_cast<std::uint32_t>(s.info.id)) + " ejected: " + why);
+    if (s.ejection == first && now_ - std::exchange(s.first_ejected, now_) > kEjectionLogInterval)
+      log("server " + std::to_string(static_cast<std::uint32_t>(s.info.id)) + " ejected: " + reason);
   }
 
-  void learn(Server& s, const Request& r, const AttemptEnded& e) {
+  void record_outcome(Server& s, const Request& r, const AttemptEnded& e) {
     const bool good = e.outcome == Outcome::ok;
     if (e.outcome == Outcome::cancelled || e.outcome == Outcome::never_sent) return;
-    const bool late = e.outcome == Outcome::timeout;  // a sign of load, not of ill health
-    if (!late) s.success += (wide() ? kWideHealthGain : kHealthGain) * ((good ? 1.0 : 0.0) - s.success);
+    const bool late = e.outcome == Outcome::timeout;  // a sign of load, not of a failed server
+    if (!late) s.success += (wide() ? kWideSuccessGain : kSuccessGain) * ((good ? 1.0 : 0.0) - s.success);
     if (good || late) {
       const double took = seconds(e.took);
-      auto& usual = at(latency_, r.cls);
-      if (good) usual += (usual == 0 ? 1 : kLatencyGain / 2) * (took - usual);
+      auto& mean = at(latency_, r.cls);
+      if (good) mean += (mean == 0 ? 1 : kLatencyGain / 2) * (took - mean);
       const double known = slowness(s);
-      if (usual > 0 && (good || took > usual))
-        s.slowness = known + (wide() ? kWideGain : kLatencyGain) * (took / usual - known), s.slow_at = now_;
-      bound_by(r, e);
+      if (mean > 0 && (good || took > mean))
+        s.slowness = known + (wide() ? kWideGain : kLatencyGain) * (took / mean - known), s.slow_at = now_;
+      adjust_limit(r, e);
     }
     if (good) {
-      answers_.add(now_, kRateMemory);
-      s.ejection = {};
-      s.misses = 0;
+      answers_.add(now_, kRateSpan);
+      s.ejection = {}, s.connect_failures = 0;
       return;
     }
-    // A broken connection or a full server, from whatever cause, lowers its share by its success. Only a
-    // failed connect takes it out at once, and two in a row mean a restart. It hurts when connections break
-    // as it dies.
-    if (e.outcome == Outcome::connect_failed) ++s.misses;
-    // Of a wide fleet each keeps too little at a server to fill it: one that turns it away is about to go.
-    // An error there is as telling: waiting for more of them would be one for each gateway.
-    const bool tells = wide() && (e.outcome == Outcome::full || e.outcome == Outcome::error);
-    if (!ejected(s) && (e.outcome == Outcome::connect_failed || tells || s.success < kSickBelow))
+    // A broken connection or a full server lowers its share by its success rate. Only a failed connect ejects
+    // it at once, and two in a row mean a restart. Breaks of a dying server show late.
+    if (e.outcome == Outcome::connect_failed) ++s.connect_failures;
+    // One gateway of a wide fleet cannot fill a server: one that is full is about to go. An error is as
+    // telling: waiting for more would cost one for each gateway.
+    const bool failing = wide() && (e.outcome == Outcome::full || e.outcome == Outcome::error);
+    if (!ejected(s) && (e.outcome == Outcome::connect_failed || failing || s.success < kEjectBelowSuccess))
       eject(s, "failures");
   }
 
-  // The bound on what this gateway keeps at the servers, learned from how answers stand against their aims.
-  // Guards against queues there that make all late: surge, fewer or slower servers, stalls. It can hurt when
-  // work is long by nature: then a part of the capacity stays unused.
-  void bound_by(const Request& r, const AttemptEnded& e) {
-    if (seconds(e.took) > kLateShare * seconds(cls(r).aim)) {
-      bound_ = std::max(kLeastBound, bound_ * (1 - kBoundCut));
-    } else if (e.outcome == Outcome::ok && in_flight_ + 1 >= bound_ * kBoundUsed) {
-      bound_ += kBoundRise * std::min(1.0, bound_ / kFirstPerServer);
-    } else if (e.outcome == Outcome::ok && wide() && bound_ < first_bound()) {
-      bound_ = std::min(first_bound(), bound_ * (1 + kBoundBack));
+  // Adapts the limit on own requests in flight to how late answers are, to prevent queues at the servers in
+  // surges, stalls, or with fewer or slower servers. Work long by nature leaves capacity unused.
+  void adjust_limit(const Request& r, const AttemptEnded& e) {
+    if (seconds(e.took) > kLateFraction * seconds(cls(r).aim)) {
+      in_flight_limit_ = std::max(kMinInFlightLimit, in_flight_limit_ * (1 - kLimitDecrease));
+    } else if (e.outcome == Outcome::ok && in_flight_ + 1 >= in_flight_limit_ * kLimitUsedFraction) {
+      in_flight_limit_ += kLimitIncrease * std::min(1.0, in_flight_limit_ / kInitialPerServer);
+    } else if (e.outcome == Outcome::ok && wide() && in_flight_limit_ < initial_limit()) {
+      in_flight_limit_ = std::min(initial_limit(), in_flight_limit_ * (1 + kLimitRecovery));
     }
   }
 
-  // At first this gateway's part of a few for each server, and room for the chance of arrivals about that.
-  double first_bound() const {
-    const double part = kFirstPerServer * static_cast<double>(servers_.size()) / set_.fleet_size;
-    return std::max(kLeastBound, part + 2 * std::sqrt(part));
+  // This gateway's share of a few requests per server, with headroom for random arrivals.
+  double initial_limit() const {
+    const double share = kInitialPerServer * static_cast<double>(servers_.size()) / settings_.fleet_size;
+    return std::max(kMinInFlightLimit, share + 2 * std::sqrt(share));
   }
-  double bound() {
-    if (bound_ == 0) bound_ = first_bound();
-    return bound_;
+  double in_flight_limit() {
+    if (in_flight_limit_ == 0) in_flight_limit_ = initial_limit();
+    return in_flight_limit_;
   }
 
   void on(const ProbeEnded& e) {
     auto* known = find(servers_, e.server);
-    if (!known || (known->probing = false, known->misses == 0)) return;
+    if (!known || (known->probing = false, known->connect_failures == 0)) return;
     auto& s = *known;
-    if (e.outcome != Outcome::ok) return ++s.misses, eject(s, "no connection");
+    if (e.outcome != Outcome::ok) return ++s.connect_failures, eject(s, "no connection");
     s.ejected_until = now_;
-    if (std::exchange(s.misses, 0) > 1) start_cold(s, now_);
+    if (std::exchange(s.connect_failures, 0) > 1) start_warmup(s, now_);
   }
 
-  // Hearsay for a start: it ends with the first ejection, or with own answers.
+  // Reports of other gateways count until the first own ejection or own answers.
   void on(const ServerSeen& e) {
     auto* s = find(servers_, e.server);
     if (!s || s->success < 1 || ejected(*s)) return;
     s->success = std::clamp(e.success, 0.0, 1.0);
-    if (s->success < kSickBelow) eject(*s, "others say so");
+    if (s->success < kEjectBelowSuccess) eject(*s, "reported by others");
   }
 
   // ---- 4 Choice -------------------------------------------------------------------------------------
 
   enum class Pick { server, wait, none };
 
-  bool may_go_to(const Request& r, const Server& s) const {
+  bool is_eligible(const Request& r, const Server& s) const {
     if (!s.ready()) return false;
     if (!r.may_have_run || cls(r).effect != Effect::keyed) return true;
-    if (cls(r).group == Group::zone) return s.info.zone == r.ran_at.zone;
-    if (cls(r).group == Group::cell) return s.info.cell == r.ran_at.cell;
+    if (cls(r).group == Group::zone) return s.info.zone == r.ran_on.zone;
+    if (cls(r).group == Group::cell) return s.info.cell == r.ran_on.cell;
     return true;
   }
 
   double expected(const Request& r) const {
-    const double l = at(latency_, r.cls);
-    return l > 0 ? l : seconds(cls(r).aim) / 8;  // before the first answer
+    const double mean = at(latency_, r.cls);
+    return mean > 0 ? mean : seconds(cls(r).aim) / 8;  // before the first answer
   }
 
-  // How slow a server is held to be. In a wide fleet one that is avoided gets no answers to show that it is
-  // well.
+  // Slowness of a server. It decays in a wide fleet: an avoided server gets no answers that show recovery.
   double slowness(const Server& s) const {
     if (!wide()) return s.slowness;
-    return 1 + (s.slowness - 1) * std::exp(-seconds(now_ - s.slow_at) / seconds(kSlowMemory));
+    return 1 + (s.slowness - 1) * std::exp(-seconds(now_ - s.slow_at) / seconds(kSlownessSpan));
   }
-  // In a wide fleet the own load says little, as others have theirs there too: own sends of the last seconds
-  // are spread evenly, and what is out for longer than usual counts with its time, before it has ended.
-  double burden(const Request& r, const Server& s) const {
+  // Expected load of a server. In a wide fleet own load says little, as other gateways add theirs: recent own
+  // sends are spread evenly, and an overlong attempt in flight counts with its time so far.
+  double expected_load(const Request& r, const Server& s) const {
     if (!wide()) return s.load + expected(r);
-    const double out_for = s.in_flight * seconds(now_ - s.sent_base) - s.sent_sum;
-    return std::max(s.load, out_for) + expected(r) * (1 + s.own.count(now_, kOwnSpan) / s.share);
+    const double total_time = s.in_flight * seconds(now_ - s.sent_time_base) - s.sent_time_sum;
+    return std::max(s.load, total_time) + expected(r) * (1 + s.recent_sends.count(now_, kSendSpan) / s.share);
   }
 
-  // Among the near servers, or among all where none of them is sound.
-  Pick choose(const Request& r, ServerId& chosen) {
-    auto& some = among_;
-    some.clear();
-    for (const auto& [part, order] : near_) {
-      std::size_t sound = 0;
+  // Chooses from the subset or, if no server of it is healthy, from all.
+  Pick choose_server(const Request& r, ServerId& chosen) {
+    auto& candidates = candidates_;
+    candidates.clear();
+    for (const auto& [size, order] : subsets_) {
+      std::size_t healthy = 0;
       for (auto* s : order) {
-        if (sound == part) break;
-        if (s->ready() && !ejected(*s)) ++sound, some.push_back(s);
+        if (healthy == size) break;
+        if (s->ready() && !ejected(*s)) ++healthy, candidates.push_back(s);
       }
     }
-    if (const auto pick = choose(r, chosen, some); pick != Pick::none) return pick;
-    some.clear();
-    for (auto& [id, s] : servers_) some.push_back(&s);
-    return choose(r, chosen, some);
+    if (const auto pick = choose_server(r, chosen, candidates); pick != Pick::none) return pick;
+    candidates.clear();
+    for (auto& [id, s] : servers_) candidates.push_back(&s);
+    return choose_server(r, chosen, candidates);
   }
 
-  Pick choose(const Request& r, ServerId& chosen, const std::vector<Server*>& among) {
+  Pick choose_server(const Request& r, ServerId& chosen, const std::vector<Server*>& candidates) {
     double best = std::numeric_limits<double>::infinity();
-    bool any = false, sound = false, warm = false;
-    double capacity = 0;  // of all that is sound, in warm servers
-    const bool room = in_flight_ + r.lot < bound();
-    for (const auto* s : among) {
+    bool eligible = false, healthy = false, any_warm = false;
+    double capacity = 0;  // of all healthy servers, in any_warm ones
+    const bool has_capacity = in_flight_ + r.admission_margin < in_flight_limit();
+    for (const auto* s : candidates) {
       if (!s->ready() || ejected(*s)) continue;
-      sound = sound || may_go_to(r, *s), warm = warm || !is_cold(*s);
-      capacity += is_cold(*s) ? warmth(*s) : 1;
+      healthy = healthy || is_eligible(r, *s), any_warm = any_warm || !is_cold(*s);
+      capacity += is_cold(*s) ? warm_fraction(*s) : 1;
     }
-    // Not while some are missing or cold: the answers of the last seconds came from more than there are now.
-    if (wide() && capacity > 0 && capacity >= near_size_)
-      steady_ = std::max(answers_.rate(now_, kRateMemory) / capacity, steady(now_)), steady_at_ = now_;
-    for (auto* p : among) {
+    // Not while some are missing or cold: recent answers came from more capacity than there is now.
+    if (wide() && capacity > 0 && capacity >= subset_size_)
+      steady_ = std::max(answers_.rate(now_, kRateSpan) / capacity, steady_rate(now_)), steady_at_ = now_;
+    for (auto* p : candidates) {
       auto& s = *p;
-      if (!may_go_to(r, s)) continue;
-      any = true;
-      if (!room) break;
-      if (sound && ejected(s)) continue;  // when all look bad, they are used rather than none
+      if (!is_eligible(r, s)) continue;
+      eligible = true;
+      if (!has_capacity) break;
+      if (healthy && ejected(s)) continue;  // if all look bad they are used rather than none
       if (is_cold(s)) {
-        earn_credit(s, warm, capacity);
+        earn_send_credit(s, any_warm, capacity);
         if (s.credit < 1) continue;
       }
-      double cost = slowness(s) * burden(r, s) / std::max(0.1, s.success);
-      if (is_cold(s) && wide()) cost *= kColdFirst;
-      if (wide()) cost *= slowness(s);  // few see it: what one has seen there counts the more
-      if (set_.weights_known && s.info.weight > 0) cost /= s.info.weight;
-      if (s.info.zone != set_.zone) cost *= 1 + kZoneWeight * set_.cross_zone_price;
+      double cost = slowness(s) * expected_load(r, s) / std::max(0.1, s.success);
+      if (is_cold(s) && wide()) cost *= kColdCostFactor;
+      if (wide()) cost *= slowness(s);  // few gateways see it, so slowness seen here counts more
+      if (settings_.weights_known && s.info.weight > 0) cost /= s.info.weight;
+      if (s.info.zone != settings_.zone) cost *= 1 + kCrossZoneWeight * settings_.cross_zone_price;
       for (const auto& a : r.attempts)
-        if (a.server == s.info.id) cost *= 4;  // somewhere else, if there is such a place
+        if (a.server == s.info.id) cost *= 4;  // prefer another server
       cost *= 1 + 0.05 * unit_random();
       if (cost < best) best = cost, chosen = s.info.id;
     }
-    return best < std::numeric_limits<double>::infinity() ? Pick::server : any ? Pick::wait : Pick::none;
+    return best < std::numeric_limits<double>::infinity() ? Pick::server : eligible ? Pick::wait : Pick::none;
   }
 
   // ---- 5 Attempts and final answers -----------------------------------------------------------------
 
-  const RequestClass& cls(const Request& r) const { return at(set_.classes, r.cls); }
+  const RequestClass& cls(const Request& r) const { return at(settings_.classes, r.cls); }
   double unit_random() { return static_cast<double>(rng_() >> 11) * 0x1.0p-53; }
 
-  // Advice after a refusal that is not about quota: about one aim, so that clients do not come in step.
-  Duration back_off() { return scaled(set_.classes.front().aim, 0.5 + unit_random()); }
+  // Advice after a refusal that is not about quota: about one aim, jittered to spread clients.
+  Duration back_off() { return scaled(settings_.classes.front().aim, 0.5 + unit_random()); }
 
   void on(const Arrival& e) {
     if (requests_.contains(e.request)) return;
-    if (static_cast<std::size_t>(e.request_class) >= set_.classes.size() ||
-        static_cast<std::size_t>(e.plan) >= set_.plans.size())
-      return out_.push_back(Refuse{e.request, {}});
-    if (e.units > at(book_.terms, e.plan).limit) return out_.push_back(Refuse{e.request, {}});  // never had
-    arrivals_.add(now_, kRateMemory);
+    if (static_cast<std::size_t>(e.request_class) >= settings_.classes.size() ||
+        static_cast<std::size_t>(e.plan) >= settings_.plans.size())
+      return actions_.push_back(Refuse{e.request, {}});
+    if (e.units > at(book_.quotas, e.plan).limit) return actions_.push_back(Refuse{e.request, {}});
+    arrivals_.add(now_, kRateSpan);
     auto& r = requests_[e.request];
     r.cls = e.request_class, r.plan = e.plan, r.customer = e.customer;
     r.units = std::max(0.0, e.units);
-    r.gateways = std::clamp(e.gateways, 1u, set_.fleet_size);
-    r.repeat = e.is_retry;
-    r.lot = unit_random() + 1 - worth_part(r);
+    r.gateways = std::clamp(e.gateways, 1u, settings_.fleet_size);
+    r.retry = e.is_retry;
+    r.admission_margin = unit_random() + 1 - worth_of(r);
     r.arrived = now_, r.deadline = now_ + e.time_left;
-    retry_tokens_ = std::min(kRetryMost, retry_tokens_ + kRetryEarn);
+    retry_tokens_ = std::min(kMaxRetryTokens, retry_tokens_ + kRetryTokenRate);
     admit(e.request, r);
   }
 
-  // The latest moment at which a first send still makes sense: an answer must fit into the aim.
+  // The latest time for a first send: an answer must still fit into the aim.
   Time send_by(const Request& r) const {
-    return r.arrived + scaled(std::min(cls(r).aim, r.deadline - r.arrived), kParkShare);
+    return r.arrived + scaled(std::min(cls(r).aim, r.deadline - r.arrived), kQueueFraction);
   }
 
-  // First send. Units are spent now: those of a window that has rolled since are leased anew.
-  void send_on(RequestId id, Request& r) {
+  // First send. Units are spent now; those of a window that has ended are leased anew.
+  void dispatch(RequestId id, Request& r) {
     if (r.holds_units) {
-      auto& l = book_.leases[r.customer];
-      book_.roll(now_, r.customer, l);
-      if (l.window != r.window) return r.holds_units = false, give_place(r), admit(id, r);
+      auto& lease = book_.leases[r.customer];
+      book_.roll_window(now_, r.customer, lease);
+      if (lease.window != r.window) return r.holds_units = false, release_slot(r), admit(id, r);
     }
     ServerId server{};
-    const auto pick = choose(r, server);
+    const auto pick = choose_server(r, server);
     if (pick == Pick::server) return send(id, r, server);
     if (pick == Pick::none || now_ >= send_by(r)) return refuse(id, r, back_off());
-    if (r.stage != Stage::parked) parked_.push_back(id);
-    r.stage = Stage::parked;
+    if (r.stage != Stage::queued) queue_.push_back(id);
+    r.stage = Stage::queued;
     set_alarm(id, r, send_by(r));
   }
 
   void send(RequestId id, Request& r, ServerId server) {
     auto& s = servers_.at(server);
-    if (!r.attempts.empty() && !r.unmet) retry_tokens_ -= 1;
+    if (!r.attempts.empty() && !r.not_started) retry_tokens_ -= 1;
     r.holds_units = false, r.stage = Stage::sent;
     if (is_cold(s)) s.credit -= 1;
-    if (wide()) s.own.add(now_, kOwnSpan);
-    ++s.out;
-    count(r.attempts.emplace_back(Attempt{server, now_, expected(r)}), true);
-    // No time-out before the client's, and no second copy: on pressed servers both were work done twice.
+    if (wide()) s.recent_sends.add(now_, kSendSpan);
+    ++s.open;
+    set_in_flight(r.attempts.emplace_back(Attempt{server, now_, expected(r)}), true);
+    // No timeout before the client's and no second copy: with overloaded servers both duplicated work.
     set_alarm(id, r, Time::max());
-    out_.push_back(Send{id, server, std::max(r.deadline - now_, Duration(1))});
+    actions_.push_back(Send{id, server, std::max(r.deadline - now_, Duration(1))});
   }
 
-  // Its server works on an attempt, or it waits for bytes of a long body and has room for others.
-  void count(Attempt& a, bool works) {
+  // Counts an attempt as load while its server works on it, not while it waits for more of a long body.
+  void set_in_flight(Attempt& a, bool works) {
     if (std::exchange(a.counted, works) == works) return;
     in_flight_ += works ? 1 : -1;
     auto* s = find(servers_, a.server);
     if (!s) return;
-    if (works && s->in_flight == 0) s->sent_base = now_, s->sent_sum = 0;
-    if (works) a.since = now_;
+    if (works && s->in_flight == 0) s->sent_time_base = now_, s->sent_time_sum = 0;
+    if (works) a.counted_since = now_;
     s->in_flight += works ? 1U : -1U;
-    s->sent_sum += (works ? 1 : -1) * seconds(a.since - s->sent_base);
+    s->sent_time_sum += (works ? 1 : -1) * seconds(a.counted_since - s->sent_time_base);
     s->load = s->in_flight == 0 ? 0 : s->load + (works ? a.work : -a.work);
   }
 
   void on(const AttemptWaits& e) {
     auto* r = find(requests_, e.request);
     if (!r || e.attempt >= r->attempts.size()) return;
-    if (auto& a = r->attempts[e.attempt]; a.out) count(a, !e.waits);
+    if (auto& a = r->attempts[e.attempt]; a.open) set_in_flight(a, !e.waits);
   }
 
   void on(const AttemptEnded& e) {
@@ -1130,61 +1128,62 @@
     if (!known || e.attempt >= known->attempts.size()) return;
     auto& r = *known;
     auto& a = r.attempts[e.attempt];
-    if (!a.out) return;
-    a.out = false;
-    r.unmet = e.outcome == Outcome::connect_failed || (wide() && e.outcome == Outcome::full);
-    count(a, false);
+    if (!a.open) return;
+    a.open = false;
+    r.not_started = e.outcome == Outcome::connect_failed || (wide() && e.outcome == Outcome::full);
+    set_in_flight(a, false);
     if (auto* s = find(servers_, a.server)) {
-      --s->out;
-      learn(*s, r, e);
+      --s->open;
+      record_outcome(*s, r, e);
       if (!proves_not_run(e.outcome) && !std::exchange(r.may_have_run, true)) {
-        r.first_run = a.sent;
-        r.ran_at = s->info;
+        r.first_run_at = a.sent;
+        r.ran_on = s->info;
       }
     }
-    if (e.true_units > 0 && set_.settled_after) put_back(r, r.units - e.true_units);
-    if (e.finished) end(e.request, r);
-    if (r.stage != Stage::ended && r.out() == 0) further(e.request, r, e.last);
-    forget_if_done(e.request);
+    if (e.true_units > 0 && settings_.settled_after) return_units(r, r.units - e.true_units);
+    if (e.finished) finish(e.request, r);
+    if (r.stage != Stage::ended && r.open() == 0) retry_or_finish(e.request, r, e.last);
+    erase_if_done(e.request);
   }
 
-  // No attempt is out and the client waits: another one where the class allows it, or the final answer.
-  void further(RequestId id, Request& r, bool last) {
+  // No attempt is open and the client waits: retries where the class allows it, or gives the final answer.
+  void retry_or_finish(RequestId id, Request& r, bool last) {
     const auto& c = cls(r);
-    // One that found nobody there was no work: it needs none of the budget.
-    bool allowed = !last && r.attempts.size() < set_.max_attempts && now_ < r.deadline &&
-                   (r.unmet || retry_tokens_ >= 1);
-    if (r.may_have_run && c.effect == Effect::unsafe) allowed = false;
-    // Its first byte may come as late as a connection does: repeats are dropped from the first sending on.
-    const bool forgotten = now_ + set_.connect_timeout >= r.first_run + c.memory_span;
-    if (r.may_have_run && c.effect == Effect::keyed && forgotten) allowed = false;
-    if (c.late_worth == 0 && now_ >= r.arrived + c.aim) allowed = false;
+    // An attempt that was not started was no work: its retry needs no budget.
+    bool may_retry = !last && r.attempts.size() < settings_.max_attempts && now_ < r.deadline &&
+                     (r.not_started || retry_tokens_ >= 1);
+    if (r.may_have_run && c.effect == Effect::unsafe) may_retry = false;
+    // The first byte may arrive as late as a connect takes; duplicates are dropped from the first send on.
+    const bool forgotten = now_ + settings_.connect_timeout >= r.first_run_at + c.memory_span;
+    if (r.may_have_run && c.effect == Effect::keyed && forgotten) may_retry = false;
+    if (c.late_worth == 0 && now_ >= r.arrived + c.aim) may_retry = false;
     ServerId server{};
-    if (allowed && choose(r, server) == Pick::server) return send(id, r, server);
-    const bool harmless = !r.may_have_run || c.effect == Effect::safe ||
-                          (c.effect == Effect::keyed && c.group == Group::all);
-    if (harmless) return refuse(id, r, back_off());
-    out_.push_back(Fail{id});
-    end(id, r);
+    if (may_retry && choose_server(r, server) == Pick::server) return send(id, r, server);
+    const bool safe_to_retry = !r.may_have_run || c.effect == Effect::safe ||
+                               (c.effect == Effect::keyed && c.group == Group::all);
+    if (safe_to_retry) return refuse(id, r, back_off());
+    actions_.push_back(Fail{id});
+    finish(id, r);
   }
 
   void refuse(RequestId id, Request& r, Duration retry_after) {
-    out_.push_back(Refuse{id, retry_after});
-    end(id, r);
-    forget_if_done(id);
+    actions_.push_back(Refuse{id, retry_after});
+    finish(id, r);
+    erase_if_done(id);
   }
 
-  void end(RequestId id, Request& r) {
+  void finish(RequestId id, Request& r) {
     if (r.stage == Stage::ended) return;
-    if (std::exchange(r.holds_units, false)) put_back(r, r.units);  // it was never sent on
+    if (std::exchange(r.holds_units, false)) return_units(r, r.units);  // it was never sent
     set_alarm(id, r, Time::max());
-    give_place(r);
-    if (auto* l = find(book_.leases, r.customer); l && r.stage == Stage::leasing) std::erase(l->waiting, id);
+    release_slot(r);
+    if (auto* lease = find(book_.leases, r.customer); lease && r.stage == Stage::leasing)
+      std::erase(lease->waiting, id);
     r.stage = Stage::ended;
   }
 
-  void forget_if_done(RequestId id) {
-    if (auto* r = find(requests_, id); r && r->stage == Stage::ended && r->out() == 0) requests_.erase(id);
+  void erase_if_done(RequestId id) {
+    if (auto* r = find(requests_, id); r && r->stage == Stage::ended && r->open() == 0) requests_.erase(id);
   }
 
   void on(const StreamStarted& e) {
@@ -1192,23 +1191,23 @@
   }
 
   void on(const ClientGone& e) {
-    if (auto* r = find(requests_, e.request)) end(e.request, *r);
-    forget_if_done(e.request);
+    if (auto* r = find(requests_, e.request)) finish(e.request, *r);
+    erase_if_done(e.request);
   }
 
   void on(const PeerMessage&) {}
 
-  // Requests that wait for a place go first come, first served.
-  void serve_parked() {
-    for (std::size_t n = parked_.size(); n > 0; --n) {
-      const auto id = parked_.front();
-      parked_.pop_front();
+  // Dispatches queued requests in order of arrival.
+  void serve_queue() {
+    for (std::size_t n = queue_.size(); n > 0; --n) {
+      const auto id = queue_.front();
+      queue_.pop_front();
       auto* r = find(requests_, id);
-      if (!r || r->stage != Stage::parked) continue;
+      if (!r || r->stage != Stage::queued) continue;
       ServerId server{};
-      if (choose(*r, server) == Pick::wait) return parked_.push_front(id);
+      if (choose_server(*r, server) == Pick::wait) return queue_.push_front(id);
       r->stage = Stage::leasing;
-      send_on(id, *r);
+      dispatch(id, *r);
     }
   }
 
@@ -1221,72 +1220,73 @@
   }
 
   void on(const TimerDue& e) {
-    if (e.timer == TimerId(timers_)) armed_ = {};  // also when a coarser clock brings it a hair early
+    if (e.timer == TimerId(last_timer_)) timer_due_ = {};  // also if a coarser clock fires it slightly early
     while (!alarms_.empty() && alarms_.begin()->first <= now_) {
       const auto id = alarms_.begin()->second;
       auto& r = requests_.at(id);
       set_alarm(id, r, Time::max());
-      refuse(id, r, back_off());  // it waited for a lease or a place
+      refuse(id, r, back_off());  // it waited for a lease, a slot or a server
     }
     if (now_ >= next_sweep_) sweep();
   }
 
   // Drops leases of past windows, so that customers seen once do not accumulate, and probes lost servers.
   void sweep() {
-    next_sweep_ = now_ + kSweep;
+    next_sweep_ = now_ + kSweepInterval;
     for (auto it = book_.leases.begin(); it != book_.leases.end();) {
-      auto& l = it->second;
-      const auto& t = at(book_.terms, l.plan);
-      const auto w = t.metered ? book_.window_at(now_, it->first, t) : l.window + 1;
-      it = w != l.window && now_ > l.tries.at + kUseMemory && l.waiting.empty() && l.open == 0
+      auto& lease = it->second;
+      const auto& q = at(book_.quotas, lease.plan);
+      const auto w = q.metered ? book_.window_at(now_, it->first, q) : lease.window + 1;
+      it = w != lease.window && now_ > lease.requests.last + kCustomerMemory && lease.waiting.empty() &&
+                   lease.open == 0
                ? book_.leases.erase(it)
                : std::next(it);
     }
     for (auto& [id, s] : servers_) {
-      if (s.misses == 0 || !s.ready() || s.probing || !set_.probes) continue;
-      if (now_ < s.ejected_until - kSweep) continue;
+      if (s.connect_failures == 0 || !s.ready() || s.probing || !settings_.probes) continue;
+      if (now_ < s.ejected_until - kSweepInterval) continue;
       s.probing = true;
-      s.ejected_until = std::max(s.ejected_until, now_ + kFirstEjection);
-      out_.push_back(Probe{id});
+      s.ejected_until = std::max(s.ejected_until, now_ + kInitialEjection);
+      actions_.push_back(Probe{id});
     }
   }
 
-  void arm() {
+  void schedule_timer() {
     const bool busy = !book_.leases.empty() || !servers_.empty();
     Time next = alarms_.empty() ? Time::max() : alarms_.begin()->first;
     if (busy) next = std::min(next, std::max(next_sweep_, now_ + Duration(1)));
-    if (const auto& p = book_.pace; !p.waiting.empty())
-      next = std::min(next, now_ + p.wait_for(p.waiting.rbegin()->first) + Duration(1));
-    if (next == Time::max() || (armed_ > now_ && armed_ <= next)) return;
-    armed_ = next;
-    out_.push_back(SetTimer{TimerId(++timers_), std::max(next - now_, Duration(1))});
+    if (const auto& pacer = book_.pacer; !pacer.waiting.empty())
+      next = std::min(next, now_ + pacer.wait_for(pacer.waiting.rbegin()->first) + Duration(1));
+    if (next == Time::max() || (timer_due_ > now_ && timer_due_ <= next)) return;
+    timer_due_ = next;
+    actions_.push_back(SetTimer{TimerId(++last_timer_), std::max(next - now_, Duration(1))});
   }
 
-  void log(std::string text) { out_.push_back(Log{std::move(text)}); }
+  void log(std::string text) { actions_.push_back(Log{std::move(text)}); }
 
-  Settings set_;
+  Settings settings_;
   std::mt19937_64 rng_;
   Time now_{};
-  std::vector<Action> out_;
+  std::vector<Action> actions_;
   LeaseBook book_;
   std::map<ServerId, Server> servers_;
   std::vector<double> latency_;  // per class: EWMA of good answers, seconds; 0: none yet
   std::unordered_map<RequestId, Request> requests_;
-  std::deque<RequestId> parked_;
-  std::set<CustomerId> freed_;                                      // whose places came free with this event
-  std::vector<std::pair<std::size_t, std::vector<Server*>>> near_;  // wide fleet, by zone: how many, by rank
-  std::vector<Server*> among_;  // of the last choice, kept for its memory
-  double near_size_ = 0;        // servers in a whole part, of all zones
-  double steady_ = 0;  // answers a second for each warm server, here
+  std::deque<RequestId> queue_;
+  std::set<CustomerId> released_;  // whose slots were released in this event
+  std::vector<std::pair<std::size_t, std::vector<Server*>>> subsets_;  // per zone: size; servers by rank
+  std::vector<Server*> candidates_;                                    // scratch space of choose_server
+  double subset_size_ = 0;                                             // sum over zones
+  double steady_ = 0;  // answers a second here per warm server
   Time steady_at_{};
-  Recent answers_, arrivals_;         // good answers of all servers; requests
-  double bound_ = 0, in_flight_ = 0;  // own requests at all servers; bound 0: nothing sent yet
-  double retry_tokens_ = kRetryMost;
-  double most_worth_ = 1e-9;  // of a request, by class and units
+  DecayingCount answers_, arrivals_;            // good answers of all servers; requests
+  double in_flight_limit_ = 0, in_flight_ = 0;  // own requests at all servers; limit 0: not set yet
+  double retry_tokens_ = kMaxRetryTokens;
+  double max_worth_ = 1e-9;  // of a request, by class and units
   bool subscribed_ = false;
   std::set<std::pair<Time, RequestId>> alarms_;
-  Time next_sweep_{}, armed_{};
-  std::uint64_t timers_ = 0;
+  Time next_sweep_{}, timer_due_{};
+  std::uint64_t last_timer_ = 0;
 };
 
 Gateway::Gateway(Settings settings, std::uint64_t seed)
@@ -1297,6 +1297,6 @@
 std::vector<Action> Gateway::handle(Time now, const Event& event) { return logic_->handle(now, event); }
 TableSizes Gateway::sizes() const { return logic_->sizes(); }
 
-double most_units(const Plan& plan) { return terms_of(plan).limit; }
+double most_units(const Plan& plan) { return make_quota(plan).limit; }
 
 }  // namespace snowknot
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-// Checks that settings make sense. It decides nothing: see src/logic.cpp for that.
+// Validates settings.
 #include <cmath>
 #include <initializer_list>
 #include <stdexcept>
@@ -12,13 +12,14 @@
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-void require(bool good, const std::string& field) {
-  if (!good) throw std::invalid_argument("snowknot settings: " + field);
+void require(bool valid, const std::string& field) {
+  if (!valid) throw std::invalid_argument("snowknot settings: " + field);
 }
 
 using Numbers = std::initializer_list<std::pair<double, const char*>>;
-void require_0_or_more(const std::string& of, Numbers numbers) {
-  for (const auto& [value, name] : numbers) require(std::isfinite(value) && value >= 0, of + name);
+// Each number must be finite and not negative; `prefix` goes before its name in the message.
+void require_0_or_more(const std::string& prefix, Numbers numbers) {
+  for (const auto& [value, name] : numbers) require(std::isfinite(value) && value >= 0, prefix + name);
 }
 
 }  // namespace
