--- a/tests/beliefs_test.cpp
+++ b/tests/beliefs_test.cpp
@@ -175,25 +175,25 @@
 std::map<snowknot::ServerId, int> sends_of(Host& h, int n) {
   std::map<snowknot::ServerId, int> to;
   for (int i = 0; i < n; ++i) {
-    const auto sent = h.ask_granted(static_cast<std::uint64_t>(i) + 1, 1);
+    const auto sent = h.request_granted(static_cast<std::uint64_t>(i) + 1, 1);
     if (!sent) continue;
     ++to[sent->server];
-    h.outcome(*sent, snowknot::Outcome::ok, true, 5ms);
+    h.end_attempt(*sent, snowknot::Outcome::ok, true, 5ms);
   }
   return to;
 }
 
 TEST(Hearsay, AServerThatServesOthersBadlyGetsNothingForOneEjection) {
   Host h;
-  h.servers(2);
-  h.give(snowknot::ServerSeen{snowknot::ServerId{1}, 0.1});
+  h.list_servers(2);
+  h.deliver(snowknot::ServerSeen{snowknot::ServerId{1}, 0.1});
   EXPECT_EQ(sends_of(h, 20)[snowknot::ServerId{1}], 0);
 }
 
 TEST(Hearsay, SaysNothingOfServersThatAreNotListed) {
   Host h;
-  h.servers(1);
-  h.give(snowknot::ServerSeen{snowknot::ServerId{77}, 0});
+  h.list_servers(1);
+  h.deliver(snowknot::ServerSeen{snowknot::ServerId{77}, 0});
   EXPECT_EQ(sends_of(h, 5).size(), 1U);
 }
 
--- a/tests/host.hpp
+++ b/tests/host.hpp
@@ -44,52 +44,53 @@
 struct Host {
   Gateway gateway;
   Time now{1h};
-  std::vector<Action> last;
+  std::vector<Action> last_actions;
   std::uint64_t next_request = 1;
 
   explicit Host(const Settings& s = settings(), std::uint64_t seed = 1) : gateway(s, seed) {}
 
-  std::vector<Action>& give(const Event& e) { return last = gateway.handle(now, e); }
+  std::vector<Action>& deliver(const Event& e) { return last_actions = gateway.handle(now, e); }
 
-  void servers(int n, std::optional<Time> started = std::nullopt) {
+  void list_servers(int n, std::optional<Time> started = std::nullopt) {
     ListUpdate u;
     for (int i = 0; i < n; ++i)
       u.entries.push_back({.id = ServerId(static_cast<std::uint32_t>(i + 1)),
                            .cell = static_cast<std::uint32_t>(i / 2),
                            .started = started});
-    give(u);
+    deliver(u);
   }
-  RequestId ask(std::uint64_t customer = 1, std::uint32_t cls = 0, double units = 1, std::uint32_t plan = 0) {
+  RequestId request(std::uint64_t customer = 1, std::uint32_t cls = 0, double units = 1,
+                    std::uint32_t plan = 0) {
     const auto id = static_cast<RequestId>(next_request++);
-    give(Arrival{id, ClassIndex(cls), PlanIndex(plan), CustomerId(customer), 1s, units, 2, false});
+    deliver(Arrival{id, ClassIndex(cls), PlanIndex(plan), CustomerId(customer), 1s, units, 2, false});
     return id;
   }
   template <class T>
-  std::vector<T> all() const {
+  std::vector<T> actions() const {
     std::vector<T> found;
-    for (const auto& a : last)
+    for (const auto& a : last_actions)
       if (const auto* t = std::get_if<T>(&a)) found.push_back(*t);
     return found;
   }
   template <class T>
   bool has() const {
-    return !all<T>().empty();
+    return !actions<T>().empty();
   }
   // Answers the one call that is out as a counter that holds `total` after it.
-  void count(const AddToCount& call, double total, CountOutcome o = CountOutcome::ok) {
-    give(CountAnswer{call.name, o, total, 1ms});
+  void answer_count(const AddToCount& call, double total, CountOutcome o = CountOutcome::ok) {
+    deliver(CountAnswer{call.name, o, total, 1ms});
   }
   // Asks, and grants whatever is leased for it; returns the send if there is one.
-  std::optional<Send> ask_granted(std::uint64_t customer = 1, std::uint32_t cls = 0) {
-    ask(customer, cls);
-    if (const auto calls = all<AddToCount>(); !calls.empty() && !has<Send>())
-      count(calls[0], calls[0].amount);
-    const auto sends = all<Send>();
+  std::optional<Send> request_granted(std::uint64_t customer = 1, std::uint32_t cls = 0) {
+    request(customer, cls);
+    if (const auto calls = actions<AddToCount>(); !calls.empty() && !has<Send>())
+      answer_count(calls[0], calls[0].amount);
+    const auto sends = actions<Send>();
     return sends.empty() ? std::nullopt : std::optional(sends[0]);
   }
-  void outcome(const Send& s, Outcome o, bool finished = false, Duration took = 20ms,
-               std::uint32_t attempt = 0) {
-    give(AttemptEnded{s.request, attempt, s.server, o, took, finished, 0, std::nullopt});
+  void end_attempt(const Send& s, Outcome o, bool finished = false, Duration took = 20ms,
+                   std::uint32_t attempt = 0) {
+    deliver(AttemptEnded{s.request, attempt, s.server, o, took, finished, 0, std::nullopt});
   }
 };
 
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -47,7 +47,7 @@
   Run run;
 
   const auto act = [&](std::size_t i) {
-    for (const auto& a : hosts[i].last) {
+    for (const auto& a : hosts[i].last_actions) {
       if (const auto* send = std::get_if<Send>(&a)) {
         auto& o = owed.at({i, send->request});
         EXPECT_EQ(o.answers, 0) << "sent after the final answer";
@@ -97,9 +97,9 @@
                           std::to_string(now.time_since_epoch().count()));
     }
   };
-  const auto give = [&](std::size_t i, const Event& e) {
+  const auto deliver = [&](std::size_t i, const Event& e) {
     hosts[i].now = now;
-    hosts[i].give(e);
+    hosts[i].deliver(e);
     act(i);
   };
   const auto tell = [&](const Due& d) {
@@ -111,7 +111,7 @@
   };
   for (std::size_t i = 0; i < 3; ++i) {
     hosts[i].now = now;
-    hosts[i].servers(5);
+    hosts[i].list_servers(5);
     act(i);
   }
   std::uint64_t next = 1;
@@ -123,7 +123,7 @@
       now = std::max(now, at);
       if (d.life != lives[d.host]) continue;
       tell(d);
-      give(d.host, d.event);
+      deliver(d.host, d.event);
     }
     now = arrival;
     if (losses && chance(0.001)) counts.clear();
@@ -132,15 +132,15 @@
       std::erase_if(owed, [&](const auto& o) { return o.first.first == i; });
       ++lives[i];
       hosts[i].gateway = Gateway(s, rng());
-      hosts[i].servers(5);
+      hosts[i].list_servers(5);
       act(i);
     }
     const auto i = static_cast<std::size_t>(rng() % 3);
     const auto id = static_cast<RequestId>(next++);
     const auto customer = 1 + rng() % 3;
     owed[{i, id}] = Owed{0, now + 1s, 0, false, customer};
-    give(i, Arrival{id, ClassIndex(static_cast<std::uint32_t>(rng() % 3)), PlanIndex{1}, CustomerId(customer),
-                    1s, 1, 3, false});
+    deliver(i, Arrival{id, ClassIndex(static_cast<std::uint32_t>(rng() % 3)), PlanIndex{1},
+                       CustomerId(customer), 1s, 1, 3, false});
   }
   while (!due.empty() && due.begin()->first < end + 3s) {
     const auto [at, d] = *due.begin();
@@ -148,7 +148,7 @@
     now = std::max(now, at);
     if (d.life != lives[d.host]) continue;
     tell(d);
-    give(d.host, d.event);
+    deliver(d.host, d.event);
   }
   for (const auto& [key, o] : owed)
     EXPECT_EQ(o.answers, 1) << "request " << static_cast<std::uint64_t>(key.second);
--- a/tests/wide_fleet_test.cpp
+++ b/tests/wide_fleet_test.cpp
@@ -23,8 +23,8 @@
 void run(Host& h, int requests, Answer answer) {
   for (int i = 0; i < requests; ++i) {
     h.now += 100ms;
-    h.ask(static_cast<std::uint64_t>(i));
-    for (const auto& s : h.all<Send>()) answer(s);
+    h.request(static_cast<std::uint64_t>(i));
+    for (const auto& s : h.actions<Send>()) answer(s);
   }
 }
 
@@ -32,11 +32,11 @@
   std::map<ServerId, int> sent;
   for (std::uint32_t g = 0; g < 100; ++g) {
     Host h(wide(g), g);
-    h.servers(60);
+    h.list_servers(60);
     std::set<ServerId> met;
     run(h, 120, [&](const Send& s) {
       met.insert(s.server), ++sent[s.server];
-      h.outcome(s, Outcome::ok, true, 100ms);
+      h.end_attempt(s, Outcome::ok, true, 100ms);
     });
     EXPECT_LE(met.size(), 12u) << "gateway " << g;
     EXPECT_GE(met.size(), 10u) << "gateway " << g;
@@ -47,10 +47,10 @@
 
 TEST(WideFleet, AServerThatComesOrGoesChangesNoOtherGatewaysPartBeyondIt) {
   Host a(wide(7), 1), b(wide(7), 2);
-  a.servers(60), b.servers(61);
+  a.list_servers(60), b.list_servers(61);
   const auto part = [](Host& h) {
     std::set<ServerId> met;
-    run(h, 120, [&](const Send& s) { met.insert(s.server), h.outcome(s, Outcome::ok, true, 100ms); });
+    run(h, 120, [&](const Send& s) { met.insert(s.server), h.end_attempt(s, Outcome::ok, true, 100ms); });
     return met;
   };
   std::vector<ServerId> differ;
@@ -60,22 +60,22 @@
 
 TEST(WideFleet, WhenItsPartIsGoneOthersAreFound) {
   Host h(wide(), 1);
-  h.servers(60);
+  h.list_servers(60);
   std::set<ServerId> met;
-  run(h, 120, [&](const Send& s) { met.insert(s.server), h.outcome(s, Outcome::ok, true, 100ms); });
+  run(h, 120, [&](const Send& s) { met.insert(s.server), h.end_attempt(s, Outcome::ok, true, 100ms); });
   std::size_t served = 0;
   std::uint32_t attempts = 0;
   for (int i = 0; i < 40; ++i) {
     h.now += 100ms;
-    h.ask();
-    auto sends = h.all<Send>();
+    h.request();
+    auto sends = h.actions<Send>();
     for (std::uint32_t n = 0; !sends.empty(); ++n) {
       const auto s = sends[0];
       ++attempts;
-      h.outcome(s, met.contains(s.server) ? Outcome::connect_failed : Outcome::ok, !met.contains(s.server),
-                1ms, n);
+      h.end_attempt(s, met.contains(s.server) ? Outcome::connect_failed : Outcome::ok,
+                    !met.contains(s.server), 1ms, n);
       served += !met.contains(s.server);
-      sends = h.all<Send>();
+      sends = h.actions<Send>();
     }
   }
   // A connection that fails is no work and needs no budget for repeats; each server is found gone about once.
@@ -85,18 +85,19 @@
 
 TEST(WideFleet, AFewLateAnswersLeaveRoomWhereTheBoundIsHardlyUsed) {
   Host h(wide(), 1);
-  h.servers(60);
+  h.list_servers(60);
   int n = 0, refused = 0;
   for (int i = 0; i < 400; ++i) {  // one in ten is late, as work varies; never more than one is out
     h.now += 100ms;
-    h.ask();
-    for (const auto& s : h.all<Send>()) h.outcome(s, Outcome::ok, true, ++n % 10 == 0 ? 600ms : 100ms);
+    h.request();
+    for (const auto& s : h.actions<Send>())
+      h.end_attempt(s, Outcome::ok, true, ++n % 10 == 0 ? 600ms : 100ms);
   }
   std::vector<Send> out;
   for (int i = 0; i < 4; ++i) {
-    h.ask();
-    for (const auto& s : h.all<Send>()) out.push_back(s);
-    refused += static_cast<int>(h.all<Refuse>().size());
+    h.request();
+    for (const auto& s : h.actions<Send>()) out.push_back(s);
+    refused += static_cast<int>(h.actions<Refuse>().size());
   }
   EXPECT_EQ(out.size(), 4u);
   EXPECT_EQ(refused, 0);
@@ -104,43 +105,43 @@
 
 TEST(WideFleet, AServerThatHoldsARequestForLongGetsNoMoreBeforeItHasEnded) {
   Host h(wide(), 1);
-  h.servers(60);
-  run(h, 60, [&](const Send& s) { h.outcome(s, Outcome::ok, true, 100ms); });
+  h.list_servers(60);
+  run(h, 60, [&](const Send& s) { h.end_attempt(s, Outcome::ok, true, 100ms); });
   std::optional<Send> stuck;
   int there = 0;
   run(h, 60, [&](const Send& s) {
     if (!stuck) return void(stuck = s);
     there += s.server == stuck->server;
-    h.outcome(s, Outcome::ok, true, 100ms);
+    h.end_attempt(s, Outcome::ok, true, 100ms);
   });
   EXPECT_LE(there, 1);
 }
 
 TEST(WideFleet, AServerThatTurnsWorkAwayIsLeftOutAtOnceAndTheRequestGoesOn) {
   Host h(wide(), 1);
-  h.servers(60);
-  const auto first = h.ask_granted();
+  h.list_servers(60);
+  const auto first = h.request_granted();
   ASSERT_TRUE(first);
-  h.outcome(*first, Outcome::full, false, 1ms);
-  ASSERT_EQ(h.all<Send>().size(), 1u);
-  EXPECT_NE(h.all<Send>()[0].server, first->server);
+  h.end_attempt(*first, Outcome::full, false, 1ms);
+  ASSERT_EQ(h.actions<Send>().size(), 1u);
+  EXPECT_NE(h.actions<Send>()[0].server, first->server);
   for (int i = 0; i < 20; ++i) {
     h.now += 10ms;
-    h.ask();
-    for (const auto& s : h.all<Send>()) EXPECT_NE(s.server, first->server);
+    h.request();
+    for (const auto& s : h.actions<Send>()) EXPECT_NE(s.server, first->server);
   }
 }
 
 TEST(WideFleet, BeingTurnedAwayNeedsNoBudgetForRepeats) {
   Host h(wide(), 1);
-  h.servers(60);
+  h.list_servers(60);
   int served = 0;
   for (int i = 0; i < 30; ++i) {
     h.now += 1s;
-    const auto first = h.ask_granted(static_cast<std::uint64_t>(i));
+    const auto first = h.request_granted(static_cast<std::uint64_t>(i));
     ASSERT_TRUE(first);
-    h.outcome(*first, Outcome::full, false, 1ms);
-    for (const auto& s : h.all<Send>()) ++served, h.outcome(s, Outcome::ok, true, 100ms, 1);
+    h.end_attempt(*first, Outcome::full, false, 1ms);
+    for (const auto& s : h.actions<Send>()) ++served, h.end_attempt(s, Outcome::ok, true, 100ms, 1);
   }
   EXPECT_EQ(served, 30);
 }
@@ -150,25 +151,26 @@
   int failures = 0, sent = 0;
   for (std::uint32_t g = 0; g < 100; ++g) {
     Host h(wide(g), g);
-    h.servers(60);
+    h.list_servers(60);
     run(h, 60, [&](const Send& s) {  // 6 s
       const bool bad = static_cast<std::uint32_t>(s.server) <= 10;
       ++sent, failures += bad;
-      h.outcome(s, bad ? Outcome::error : Outcome::ok, true, bad ? 1ms : 100ms);
+      h.end_attempt(s, bad ? Outcome::error : Outcome::ok, true, bad ? 1ms : 100ms);
     });
   }
-  EXPECT_LE(failures, sent / 12);  // a sixth of the servers; each pair of gateway and server meets about 5 times
+  EXPECT_LE(failures,
+            sent / 12);  // a sixth of the servers; each pair of gateway and server meets about 5 times
 }
 
 TEST(WideFleet, AServerFoundSlowGetsLittleForSomeSeconds) {
   Host h(wide(), 1);
-  h.servers(60);
+  h.list_servers(60);
   ServerId slow{};
   int there = 0;
-  run(h, 60, [&](const Send& s) { h.outcome(s, Outcome::ok, true, 100ms), slow = s.server; });
+  run(h, 60, [&](const Send& s) { h.end_attempt(s, Outcome::ok, true, 100ms), slow = s.server; });
   run(h, 60, [&](const Send& s) {
     there += s.server == slow;
-    h.outcome(s, Outcome::ok, true, s.server == slow ? 1s : 100ms);
+    h.end_attempt(s, Outcome::ok, true, s.server == slow ? 1s : 100ms);
   });
   EXPECT_LE(there, 2);  // an even part is 5
 }
@@ -179,16 +181,16 @@
     auto s = settings();
     s.fleet_size = fleet;
     Host h(s, 1);
-    h.servers(20);
+    h.list_servers(20);
     int calls = 0;
     for (int i = 0; i < 600; ++i) {  // 30 s, of which the last 10 count
       h.now += 50ms;
-      h.ask(static_cast<std::uint64_t>(1000 + i));
-      auto pending = h.all<AddToCount>();
+      h.request(static_cast<std::uint64_t>(1000 + i));
+      auto pending = h.actions<AddToCount>();
       for (std::size_t n = 0; n < pending.size() && n < 20; ++n) {
         calls += i >= 400;
-        h.give(CountAnswer{pending[n].name, CountOutcome::ok, pending[n].amount, took});
-        for (const auto& c : h.all<AddToCount>()) pending.push_back(c);
+        h.deliver(CountAnswer{pending[n].name, CountOutcome::ok, pending[n].amount, took});
+        for (const auto& c : h.actions<AddToCount>()) pending.push_back(c);
       }
     }
     return calls;
@@ -200,7 +202,8 @@
 // A customer of which each of a hundred gateways sees little, over a counter that keeps count; what is sent on against an
 // exact store of units.
 struct Use {
-  double inside = 0, beyond = 0, offered = 0;  // shares of what the quota gives in that time; offered: asked inside it
+  double inside = 0, beyond = 0,
+         offered = 0;  // shares of what the quota gives in that time; offered: asked inside it
 };
 Use use_of_quota(double asked, double rate, double burst, std::uint64_t seed) {
   auto s = settings();
@@ -210,7 +213,7 @@
   for (std::uint32_t g = 0; g < s.fleet_size; ++g) {
     s.index = g;
     hosts.emplace_back(s, seed * 1000 + g);
-    hosts.back().servers(20);
+    hosts.back().list_servers(20);
   }
   std::map<CountName, double> counts;
   std::mt19937_64 random(seed);
@@ -225,20 +228,21 @@
     for (auto* store : {&sent_store, &asked_store}) *store = std::min(burst, *store + gap * rate);
     auto& h = hosts[random() % hosts.size()];
     h.now = now;
-    h.give(Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(0), CustomerId(7), 1s, 1, 100, false});
+    h.deliver(
+        Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(0), CustomerId(7), 1s, 1, 100, false});
     use.offered += take(asked_store);
-    for (auto pending = h.last; !pending.empty();) {
+    for (auto pending = h.last_actions; !pending.empty();) {
       std::vector<Action> next;
       for (const auto& action : pending) {
         if (const auto* c = std::get_if<AddToCount>(&action)) {
-          h.count(*c, counts[c->name] += c->amount);
+          h.answer_count(*c, counts[c->name] += c->amount);
         } else if (const auto* sent = std::get_if<Send>(&action)) {
           ++(take(sent_store) ? use.inside : use.beyond);
-          h.outcome(*sent, Outcome::ok, true, 100ms);
+          h.end_attempt(*sent, Outcome::ok, true, 100ms);
         } else {
           continue;
         }
-        next.insert(next.end(), h.last.begin(), h.last.end());
+        next.insert(next.end(), h.last_actions.begin(), h.last_actions.end());
       }
       pending = std::move(next);
     }
@@ -264,16 +268,19 @@
 TEST(WideFleet, TheLargestRequestOfAPlanIsGranted) {
   auto s = settings();
   s.fleet_size = 100, s.max_units = 4;
-  s.plans = {{.name = "small", .rate = 2, .burst = 4},
-             {.name = "capped", .rate = 2, .burst = 4, .ceiling_rate = 2.2, .ceiling_burst = 8, .ceiling_slack = 4}};
+  s.plans = {
+      {.name = "small", .rate = 2, .burst = 4},
+      {.name = "capped", .rate = 2, .burst = 4, .ceiling_rate = 2.2, .ceiling_burst = 8, .ceiling_slack = 4}};
   for (std::uint32_t plan : {0u, 1u}) {
     Host h(s, 1);
-    h.servers(60);
+    h.list_servers(60);
     bool sent = false;
     for (int i = 0; i < 40 && !sent; ++i) {  // 4 s: two fillings of the store
       h.now += 100ms;
-      h.give(Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(plan), CustomerId(7), 1s, 4, 100, false});
-      if (const auto calls = h.all<AddToCount>(); !calls.empty()) h.count(calls[0], calls[0].amount);
+      h.deliver(Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(plan), CustomerId(7), 1s, 4,
+                        100, false});
+      if (const auto calls = h.actions<AddToCount>(); !calls.empty())
+        h.answer_count(calls[0], calls[0].amount);
       sent = h.has<Send>();
     }
     EXPECT_TRUE(sent) << s.plans[plan].name;
@@ -285,16 +292,16 @@
     auto s = settings();
     s.fleet_size = fleet;
     Host h(s, 1);
-    h.servers(60);
+    h.list_servers(60);
     int calls = 0;
     for (int i = 0; i < 100; ++i) {
       h.now += 200ms;
-      h.ask(7);  // its store fills in 2 s
-      auto pending = h.all<AddToCount>();
+      h.request(7);  // its store fills in 2 s
+      auto pending = h.actions<AddToCount>();
       for (std::size_t n = 0; n < pending.size() && n < 20; ++n) {
         calls += pending[n].lifetime > 2s + s.counter_timeout;
-        h.count(pending[n], pending[n].amount);
-        for (const auto& c : h.all<AddToCount>()) pending.push_back(c);
+        h.answer_count(pending[n], pending[n].amount);
+        for (const auto& c : h.actions<AddToCount>()) pending.push_back(c);
       }
     }
     return calls;
@@ -308,20 +315,21 @@
   auto s = settings();
   s.fleet_size = 100;
   Host h(s, 1);
-  h.servers(60);
-  const auto ask = [&](std::uint64_t customer, bool repeat) {
-    h.give(Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(1), CustomerId(customer), 1s, 1, 100, repeat});
+  h.list_servers(60);
+  const auto request = [&](std::uint64_t customer, bool repeat) {
+    h.deliver(Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(1), CustomerId(customer), 1s, 1,
+                      100, repeat});
   };
   h.now += 5s;
-  ask(1, true);
+  request(1, true);
   EXPECT_TRUE(h.has<AddToCount>());  // nobody else wants it
   for (std::uint64_t c = 2; !h.has<Refuse>() && c < 10; ++c) {
-    ask(c, true);
+    request(c, true);
     EXPECT_TRUE(h.has<AddToCount>() || h.has<Refuse>());  // none waits for one
   }
   ASSERT_TRUE(h.has<Refuse>());
-  EXPECT_GT(h.all<Refuse>()[0].retry_after, Duration{});
-  ask(20, false);
+  EXPECT_GT(h.actions<Refuse>()[0].retry_after, Duration{});
+  request(20, false);
   EXPECT_FALSE(h.has<Refuse>());
 }
 
@@ -331,17 +339,17 @@
   std::map<ServerId, std::vector<double>> cold_sends;
   for (std::uint32_t g = 0; g < 100; ++g) {
     Host h(wide(g), g);
-    h.servers(kServers);
-    run(h, 100, [&](const Send& s) { h.outcome(s, Outcome::ok, true, 100ms); });
+    h.list_servers(kServers);
+    run(h, 100, [&](const Send& s) { h.end_attempt(s, Outcome::ok, true, 100ms); });
     ListUpdate u{ListKind::changes, {}};
     for (std::uint32_t i = kWarm; i < kServers; ++i)
       u.entries.push_back({.id = ServerId(i + 1), .cell = i / 2, .started = h.now});
-    h.give(u);
+    h.deliver(u);
     const auto begin = h.now;
     run(h, 50, [&](const Send& s) {
       if (static_cast<std::uint32_t>(s.server) > kWarm)
         cold_sends[s.server].push_back(std::chrono::duration<double>(h.now - begin).count());
-      h.outcome(s, Outcome::ok, true, 100ms);
+      h.end_attempt(s, Outcome::ok, true, 100ms);
     });
   }
   // The warm ones take all else, so they are able to do that. In 3 s a cold one may be sent twice what it can do, a
