--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,3 +1,4 @@
+// Tests of a single gateway: leases, caps, retries, final answers and the choice of servers.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -12,7 +13,7 @@
 
 // ---- Settings ---------------------------------------------------------------------------------------
 
-TEST(Settings, NonsenseThrowsAndNamesTheField) {
+TEST(Settings, InvalidValuesThrowAndNameTheField) {
   const auto message = [](auto change) -> std::string {
     auto s = settings();
     change(s);
@@ -33,7 +34,7 @@
 
 // ---- Leases -----------------------------------------------------------------------------------------
 
-TEST(Leases, ARequestWaitsForItsQuantumAndFollowersSpendIt) {
+TEST(Leases, RequestWaitsForItsLeaseAndLaterRequestsSpendIt) {
   Host h;
   h.list_servers(2);
   const auto id = h.request();
@@ -41,16 +42,16 @@
   EXPECT_FALSE(h.has<Send>());
   const auto call = h.actions<AddToCount>()[0];
   EXPECT_GT(call.amount, 1);
-  EXPECT_LE(call.amount, 5);  // burst over twice the gateways
+  EXPECT_LE(call.amount, 5);  // burst / (2 * gateways)
   h.answer_count(call, call.amount);
   ASSERT_EQ(h.actions<Send>().size(), 1u);
   EXPECT_EQ(h.actions<Send>()[0].request, id);
   h.request();
   EXPECT_TRUE(h.has<Send>());
-  for (const auto& c : h.actions<AddToCount>()) EXPECT_NE(c.name, call.name);  // for windows to come
+  for (const auto& c : h.actions<AddToCount>()) EXPECT_NE(c.name, call.name);  // reserves of later windows
 }
 
-TEST(Leases, OneCallOutAndOthersJoin) {
+TEST(Leases, RequestsShareTheCallInFlight) {
   Host h;
   h.list_servers(2);
   h.request();
@@ -61,10 +62,10 @@
   EXPECT_EQ(h.actions<Send>().size(), 2u);
 }
 
-// ---- Repeats that are dropped for a while only -------------------------------------------------------
+// ---- Retries of requests whose duplicates are detected for a limited time ---------------------------
 
-// A connection may come up as late as its limit: a repeat that could be written behind the span is not sent.
-TEST(Repeats, NoneIsSentThatMayComeWhenItsServersHaveForgotten) {
+// A connect may take up to its timeout: a retry that could be written after the memory span is not sent.
+TEST(Repeats, NoRetryIsSentThatMayArriveAfterTheMemorySpan) {
   for (const auto& [took, again] : {std::pair{200ms, true}, {300ms, false}, {600ms, false}}) {
     auto s = settings();
     s.classes[1].memory_span = 500ms;
@@ -80,16 +81,16 @@
   }
 }
 
-// ---- A cap on attempts out at once -------------------------------------------------------------------
+// ---- A cap on open attempts --------------------------------------------------------------------------
 
-Settings capped(std::uint32_t most) {
+Settings capped(std::uint32_t max_open) {
   auto s = settings();
-  s.plans[0].max_open = most;
+  s.plans[0].max_open = max_open;
   return s;
 }
 
-// Two of four places are this gateway's: the customer comes through two.
-TEST(Cap, ThoseThatWaitForOneLeaseDoNotPassItTogether) {
+// Two of the four slots belong to this gateway: the customer uses two gateways.
+TEST(Cap, RequestsWaitingForOneLeaseDoNotExceedTheCapTogether) {
   Host h(capped(4));
   h.list_servers(2);
   h.request();
@@ -99,7 +100,7 @@
   auto sends = h.actions<Send>();
   ASSERT_EQ(sends.size(), 2u);
   h.now += 20ms;
-  h.end_attempt(sends[0], Outcome::ok, true);  // the next one in line has its place
+  h.end_attempt(sends[0], Outcome::ok, true);  // the next waiting request gets its slot
   ASSERT_EQ(h.actions<Send>().size(), 1u);
   EXPECT_EQ(h.actions<Send>()[0].request, RequestId(3));
   EXPECT_FALSE(h.has<Refuse>());
@@ -108,21 +109,21 @@
   EXPECT_EQ(h.actions<Send>()[0].request, RequestId(4));
 }
 
-TEST(Cap, OneThatGetsNoPlaceInTimeIsRefusedWithATimeToComeBack) {
+TEST(Cap, RequestWithoutASlotInTimeIsRefusedWithRetryAfter) {
   Host h(capped(2));
   h.list_servers(2);
   ASSERT_TRUE(h.request_granted());
   const auto id = h.request();
   EXPECT_FALSE(h.has<Send>() || h.has<Refuse>());
-  h.now += 300ms;  // past the part of its aim that it may wait
+  h.now += 300ms;  // past the fraction of its aim that it may wait
   h.deliver(TimerDue{});
   ASSERT_EQ(h.actions<Refuse>().size(), 1u);
   EXPECT_EQ(h.actions<Refuse>()[0].request, id);
   EXPECT_GT(h.actions<Refuse>()[0].retry_after, 0ns);
 }
 
-// Nobody waits for a place that can't come free in time: it is given up, so it is answered at once.
-TEST(Cap, MoreThanCanBeServedInTimeAreRefusedAtOnce) {
+// A request does not wait for a slot that can't be released in time: it would be refused anyway.
+TEST(Cap, RequestsThatCannotGetASlotInTimeAreRefusedAtOnce) {
   Host h(capped(2));
   h.list_servers(2);
   ASSERT_TRUE(h.request_granted());
@@ -136,7 +137,7 @@
   EXPECT_EQ(waiting + refused, 10);
 }
 
-TEST(Cap, HoldsForAPlanWithoutARateToo) {
+TEST(Cap, AppliesToAPlanWithoutARate) {
   auto s = capped(2);
   s.plans[0].rate = s.plans[0].burst = 0;
   Host h(s);
@@ -150,43 +151,43 @@
   EXPECT_TRUE(h.has<Send>());
 }
 
-TEST(Leases, ExcessIsHandedBackAndThePartKept) {
+TEST(Leases, ExcessIsReturnedAndTheGrantedShareKept) {
   Host h;
   h.list_servers(2);
   h.request(1, 0, 1, 1);
   const auto call = h.actions<AddToCount>().at(0);
-  h.answer_count(call, 16 + call.amount - 1);  // one unit of the most under this ceiling was left
+  h.answer_count(call, 16 + call.amount - 1);  // one unit was left of the maximum under this ceiling
   EXPECT_TRUE(h.has<Send>());
   ASSERT_TRUE(h.has<AddToCount>());
   EXPECT_DOUBLE_EQ(h.actions<AddToCount>()[0].amount, -(call.amount - 1));
-  h.request(1, 0, 1, 1);  // known empty: at once, without a call, told when units can be had
+  h.request(1, 0, 1, 1);  // known empty: refused without a call, with the time when units are available
   EXPECT_FALSE(h.has<AddToCount>());
   ASSERT_TRUE(h.has<Refuse>());
   EXPECT_GT(h.actions<Refuse>()[0].retry_after, 0ns);
-  EXPECT_LE(h.actions<Refuse>()[0].retry_after, 2s);  // a window is burst over rate
+  EXPECT_LE(h.actions<Refuse>()[0].retry_after, 2s);  // a window is burst / rate
   h.now += h.actions<Refuse>()[0].retry_after;
   h.request(1, 0, 1, 1);
   EXPECT_TRUE(h.has<AddToCount>());
 }
 
-// A store that was full at a window's start grants what flows in as well: how much depends on the time in it.
-TEST(Leases, FullStoreGrantsWhatFlowsInToo) {
+// A bucket that was full at a window's start grants its refill as well, by the time elapsed in the window.
+TEST(Leases, FullBucketGrantsItsRefillToo) {
   int sent = 0, refused = 0;
   for (int i = 0; i < 20; ++i) {
     Host h;
-    h.now += i * 100ms;  // over the whole of a window
+    h.now += i * 100ms;  // over a whole window
     h.list_servers(2);
     h.request();
     const auto call = h.actions<AddToCount>().at(0);
-    h.answer_count(call, 34);  // the store holds 20 and gets 20 in a window
+    h.answer_count(call, 34);  // the bucket holds 20 and gets 20 in a window
     sent += h.has<Send>(), refused += h.has<Refuse>();
   }
   EXPECT_GE(sent, 5);
   EXPECT_GE(refused, 8);
   EXPECT_EQ(sent + refused, 20);
 }
-// One that was spent in the window before grants only what has flowed in since.
-TEST(Leases, SpentStoreFillsEvenlyInTheNextWindow) {
+// A bucket that was emptied in the previous window grants only its refill since.
+TEST(Leases, EmptyBucketFillsEvenlyInTheNextWindow) {
   Host h;
   h.list_servers(2);
   h.request();
@@ -195,12 +196,12 @@
   ASSERT_TRUE(h.has<Refuse>());
   h.now += h.actions<Refuse>()[0].retry_after;  // no more in this window
   h.request();
-  const auto next = h.actions<AddToCount>().back();  // before it, some is leased ahead
-  h.answer_count(next, 10 + next.amount);            // well inside the limit, but the window has only begun
+  const auto next = h.actions<AddToCount>().back();  // earlier calls are for reserves
+  h.answer_count(next, 10 + next.amount);            // well below the limit, but the window has just begun
   ASSERT_TRUE(h.has<Refuse>());
   EXPECT_GE(h.actions<Refuse>()[0].retry_after, 1100ms);  // 11 of 20 units in a window of 2 s
   EXPECT_LE(h.actions<Refuse>()[0].retry_after, 1110ms);
-  // What was wholly refused is owed: it is taken off at the next call, without one of its own.
+  // A fully refused amount is taken off at the next call, without a call of its own.
   h.now += h.actions<Refuse>()[0].retry_after;
   h.request();
   ASSERT_TRUE(h.has<AddToCount>());
@@ -209,61 +210,61 @@
   EXPECT_TRUE(h.has<Send>());
 }
 
-// Asks, and answers all calls as a counter that keeps count; returns what was sent on.
+// Sends a request and answers all calls like a counter; returns the number of sends.
 struct Counted : Host {
   using Host::Host;
   std::map<CountName, double> counts;
-  std::size_t calls = 0;  // that the last request made, but for reserves
-  Duration opens{};       // what the last refusal said
+  std::size_t calls = 0;   // of the last request, without reserves
+  Duration retry_after{};  // of the last refusal
 
   std::size_t request_counted(double units = 1) {
-    now += 10ms;  // calls are few and far between
+    now += 10ms;  // keeps the rate of calls low
     request(1, 0, units);
     std::size_t sent = 0;
     calls = 0;
-    std::deque<AddToCount> out;
-    const auto take = [&] {
+    std::deque<AddToCount> pending;
+    const auto collect = [&] {
       sent += actions<Send>().size();
-      for (const auto& r : actions<Refuse>()) opens = r.retry_after;
-      for (const auto& c : actions<AddToCount>()) out.push_back(c);
+      for (const auto& r : actions<Refuse>()) retry_after = r.retry_after;
+      for (const auto& c : actions<AddToCount>()) pending.push_back(c);
     };
-    for (take(); !out.empty(); take()) {
-      const auto call = out.front();
-      out.pop_front();
-      calls += call.lifetime < 2500ms;  // the present window's, of 2 s
+    for (collect(); !pending.empty(); collect()) {
+      const auto call = pending.front();
+      pending.pop_front();
+      calls += call.lifetime < 2500ms;  // for the current window, of 2 s
       answer_count(call, counts[call.name] += call.amount);
     }
     return sent;
   }
 };
 
-// One that was full and unused for most of a window holds its limit then, not that and all that flowed in: a burst
-// late in the window is granted no more than one early in it.
-TEST(Leases, AFullStoreThatWasNotUsedGrantsItsLimitAtOnceAndNoMore) {
-  for (const auto late : {0ms, 500ms, 1000ms, 1500ms, 1900ms}) {
+// A bucket that was full and unused for most of a window holds its limit, not the limit and all refill: a
+// burst late in the window is granted no more than an early one.
+TEST(Leases, UnusedFullBucketGrantsItsLimitAtOnceAndNoMore) {
+  for (const auto start : {0ms, 500ms, 1000ms, 1500ms, 1900ms}) {
     Counted h;
-    h.now += late;
+    h.now += start;
     h.list_servers(10);
     std::size_t sent = 0;
     for (int i = 0; i < 60; ++i) sent += h.request_counted();
-    EXPECT_GE(sent, 24u) << late.count();
-    EXPECT_LE(sent, 26u) << late.count();  // and what flows in meanwhile
+    EXPECT_GE(sent, 24u) << start.count();
+    EXPECT_LE(sent, 26u) << start.count();  // and the refill meanwhile
   }
 }
 
-// A request that is refused for its size leaves those alone that would fit.
-TEST(Leases, ALargeRequestThatIsRefusedDoesNotShutOutSmallerOnes) {
+// A request that is refused for its size does not block smaller ones that fit.
+TEST(Leases, RefusedLargeRequestDoesNotBlockSmallerOnes) {
   auto s = settings();
   s.max_units = 4;
   Counted h(s);
   h.list_servers(10);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(h.request_counted(4), 1u);
   EXPECT_EQ(h.request_counted(4), 0u);
-  EXPECT_GT(h.opens, 300ms);  // 4 units at 10 a second, of which some have flowed in
-  EXPECT_LE(h.opens, 400ms);
+  EXPECT_GT(h.retry_after, 300ms);  // 4 units at 10 a second, of which some have been refilled
+  EXPECT_LE(h.retry_after, 400ms);
   h.now += 250ms;
   EXPECT_EQ(h.request_counted(4), 0u);
-  EXPECT_EQ(h.calls, 0u);  // nor is it asked for again
+  EXPECT_EQ(h.calls, 0u);  // no call is made either
   EXPECT_EQ(h.request_counted(1), 1u);
 }
 
@@ -278,7 +279,7 @@
   EXPECT_FALSE(h.has<Send>());
 }
 
-TEST(Leases, WhatATotalLacksOfATimedOutAddIsAddedAgain) {
+TEST(Leases, TimedOutAddMissingFromTheTotalIsAddedAgain) {
   for (const bool was_added : {false, true}) {
     Host h;
     h.list_servers(2);
@@ -290,12 +291,12 @@
     h.answer_count(second, total);
     EXPECT_TRUE(h.has<Send>());
     h.now += 100ms;
-    h.request(1, 0, 8);  // more than is held
+    h.request(1, 0, 8);  // more than the lease holds
     const auto third = h.actions<AddToCount>();
     ASSERT_FALSE(third.empty());
     h.answer_count(third.back(), total + third.back().amount);
     EXPECT_TRUE(h.has<Send>());
-    EXPECT_GE(total + third.back().amount, 1 + 8);  // what was spent
+    EXPECT_GE(total + third.back().amount, 1 + 8);  // the units spent
   }
 }
 
@@ -309,7 +310,7 @@
   EXPECT_GT(h.actions<AddToCount>()[0].amount, 0.0);
 }
 
-// Under a ceiling too: what is known to be in the count is not leased a second time, and the counter is well.
+// Also under a ceiling: an amount known to be in the count is not leased twice, and the counter is healthy.
 TEST(Leases, AddWithAnUnreadableTotalIsTakenOffAtTheNextCall) {
   Host h;
   h.list_servers(4);
@@ -323,7 +324,7 @@
   h.answer_count(again[0], first[0].amount);
   EXPECT_TRUE(h.has<Send>());
 }
-TEST(Leases, CounterDownRefusesEarlyAndIsTriedAgain) {
+TEST(Leases, CounterDownRefusesEarlyAndIsRetried) {
   Host h;
   h.list_servers(2);
   h.request();
@@ -341,30 +342,30 @@
   EXPECT_TRUE(h.has<Send>());
 }
 
-TEST(Leases, WordOfLostCountsClosesCeilingWindowsBegunBefore) {
+TEST(Leases, ReportOfLostCountsClosesEarlierCeilingWindows) {
   Host h;
   h.list_servers(2);
   h.request(1, 0, 1, 1);
   const auto call = h.actions<AddToCount>().at(0);
   h.deliver(CountsLost{h.now});
-  h.answer_count(call, call.amount);  // it may be of a count that began anew
+  h.answer_count(call, call.amount);  // the count may have restarted
   EXPECT_FALSE(h.has<Send>());
   ASSERT_TRUE(h.has<Refuse>());
   const auto wait = h.actions<Refuse>()[0].retry_after;
   h.request(1, 0, 1, 1);
   EXPECT_FALSE(h.has<AddToCount>());
   EXPECT_TRUE(h.has<Refuse>());
-  h.request(2);  // no ceiling: it goes on
+  h.request(2);  // without a ceiling leases go on
   EXPECT_TRUE(h.has<AddToCount>());
   h.now += wait;
   h.request(1, 0, 1, 1);
   ASSERT_TRUE(h.has<AddToCount>());                  // the next window
-  const auto next = h.actions<AddToCount>().back();  // before it, some is leased ahead
-  h.deliver(CountsLost{h.now - wait});               // told late, of what is known
+  const auto next = h.actions<AddToCount>().back();  // earlier calls are for reserves
+  h.deliver(CountsLost{h.now - wait});               // a late report of a known loss
   h.answer_count(next, next.amount);
   EXPECT_TRUE(h.has<Send>());
 }
-TEST(Leases, WordOfALossLongAgoClosesNothing) {
+TEST(Leases, ReportOfAnOldLossClosesNothing) {
   Host h;
   h.now += 5h;
   h.list_servers(2);
@@ -372,14 +373,14 @@
   h.request(1, 0, 1, 1);
   ASSERT_TRUE(h.has<AddToCount>());
 }
-TEST(Leases, ACounterThatLostItsCountsClosesACeilingWindow) {
+TEST(Leases, CounterThatLostItsCountsClosesACeilingWindow) {
   Host h;
   h.list_servers(2);
   h.request(1, 0, 8, 1);
   h.answer_count(h.actions<AddToCount>().at(0), 8);
   ASSERT_TRUE(h.has<Send>());
   h.request(1, 0, 4, 1);
-  h.answer_count(h.actions<AddToCount>().at(0), 4);  // less than this gateway itself added
+  h.answer_count(h.actions<AddToCount>().at(0), 4);  // less than this gateway added itself
   EXPECT_FALSE(h.has<Send>());
   EXPECT_TRUE(h.has<Refuse>());
 }
@@ -389,14 +390,14 @@
   h.list_servers(2);
   for (std::uint64_t c = 1; c <= 500; ++c) h.request_granted(c);
   EXPECT_GE(h.gateway.sizes().customers, 500u);
-  for (int i = 0; i < 100; ++i) {  // their use is remembered for some 20 s
+  for (int i = 0; i < 100; ++i) {  // their demand is remembered for 20 s
     h.now += 300ms;
     h.deliver(TimerDue{TimerId{1}});
   }
   EXPECT_EQ(h.gateway.sizes().customers, 0u);
 }
 
-TEST(Leases, AnswerForADroppedWindowIsPassedOver) {
+TEST(Leases, AnswerForADroppedWindowIsIgnored) {
   Host h;
   h.list_servers(2);
   h.request();
@@ -408,7 +409,7 @@
   EXPECT_FALSE(h.has<Send>());
 }
 
-TEST(Leases, ASteadyCustomerIsCarriedOverACounterThatIsDown) {
+TEST(Leases, ReservesServeASteadyCustomerWhileTheCounterIsDown) {
   Host h;
   h.list_servers(4);
   double total = 0;
@@ -444,7 +445,7 @@
   EXPECT_GT(total, 0);
 }
 
-TEST(Leases, NothingIsLeasedAheadForACustomerSeenOnce) {
+TEST(Leases, NoReserveForACustomerSeenOnce) {
   Host h;
   h.list_servers(4);
   h.request(5);
@@ -455,20 +456,20 @@
   EXPECT_FALSE(h.has<AddToCount>());
   h.now += 100ms;
   h.request(6);
-  h.answer_count(h.actions<AddToCount>().at(0), 7);  // this one comes elsewhere too
+  h.answer_count(h.actions<AddToCount>().at(0), 7);  // this customer uses other gateways too
   h.now += 100ms;
   h.request(6);
   EXPECT_TRUE(h.has<AddToCount>());
 }
 
-// A counter that keeps its counts until they are taken away, and one customer under a ceiling.
-struct Reserve {
+// A counter that can fail, and a customer under a ceiling.
+struct ReserveScenario {
   Host h;
   std::map<CountName, double> counts;
   bool up = true;
   int sent = 0;
 
-  Reserve() { h.list_servers(4); }
+  ReserveScenario() { h.list_servers(4); }
   void request(std::uint64_t customer = 1, std::uint32_t plan = 1) {
     h.request(customer, 0, 1, plan);
     std::deque<Action> actions(h.last_actions.begin(), h.last_actions.end());
@@ -483,7 +484,7 @@
         actions.insert(actions.end(), h.last_actions.begin(), h.last_actions.end());
     }
   }
-  // How many of so many requests were sent, one every 100 ms.
+  // The number of sends for `requests` requests, one every 100 ms.
   int sent_of(int requests) {
     sent = 0;
     for (int i = 0; i < requests; ++i) h.now += 100ms, request();
@@ -491,16 +492,16 @@
   }
 };
 
-TEST(Leases, UnderACeilingAReserveIsSpentOnlyWhileTheCounterIsDown) {
-  Reserve r;
+TEST(Leases, CeilingReserveIsSpentOnlyWhileTheCounterIsDown) {
+  ReserveScenario r;
   EXPECT_GE(r.sent_of(20), 18);
   for (const auto& [name, total] : r.counts) EXPECT_LE(total, 32 / 2);  // half of the ceiling's burst
   r.up = false;
-  EXPECT_GE(r.sent_of(60), 16);  // with units of the present window alone it would be 4 at most
+  EXPECT_GE(r.sent_of(60), 16);  // units of the current window alone allow at most 4
 }
 
-// A loss that is noticed again, with each count that went with it, shuts nothing begun since.
-TEST(Leases, ALossThatIsKnownShutsNoWindowThatBeganAfterIt) {
+// A known loss that shows again in other lost counts closes no window that began since.
+TEST(Leases, KnownLossClosesNoWindowThatBeganAfterIt) {
   Host h;
   h.list_servers(4);
   std::map<std::uint64_t, CountName> seen;
@@ -517,7 +518,7 @@
   };
   for (std::uint64_t c = 10; c < 40; ++c) grant(c, 1, 0);
   grant(1, 4, 1);
-  grant(1, 4, 1);  // its total lacks what the first one added
+  grant(1, 4, 1);  // its total lacks the first add
   ASSERT_TRUE(h.has<Refuse>());
   h.now += h.actions<Refuse>()[0].retry_after;
   sent = 0;
@@ -540,16 +541,16 @@
   EXPECT_FALSE(h.has<Refuse>());
 }
 
-// A fleet that shares one small counter, which takes calls in turn and gives each up after its time-out.
+// A fleet that shares one small counter, which processes calls in order; a call times out after 50 ms.
 struct Fleet {
   std::vector<Host> hosts;
   std::map<CountName, double> counts;
-  struct Out {
+  struct QueuedCall {
     std::size_t host;
     AddToCount call;
-    Time made;
+    Time sent_at;
   };
-  std::deque<Out> line;
+  std::deque<QueuedCall> queue;
   std::map<std::size_t, std::vector<Time>> timers;
   Time now{1h};
   int sent = 0, refused = 0, answered = 0, late = 0;
@@ -567,7 +568,7 @@
   void collect(std::size_t i) {
     const auto actions = hosts[i].last_actions;
     for (const auto& a : actions) {
-      if (const auto* c = std::get_if<AddToCount>(&a)) line.push_back({i, *c, now});
+      if (const auto* c = std::get_if<AddToCount>(&a)) queue.push_back({i, *c, now});
       if (const auto* t = std::get_if<SetTimer>(&a)) timers[i].push_back(now + t->delay);
       if (std::holds_alternative<Refuse>(a)) ++refused;
       if (const auto* send = std::get_if<Send>(&a)) {
@@ -584,18 +585,18 @@
                              static_cast<std::uint32_t>(hosts.size()), false});
     collect(i);
   }
-  void step(double calls) {  // one millisecond, in which the counter takes so many calls
+  void step(double calls) {  // one millisecond, in which the counter processes `calls` calls
     now += 1ms;
-    for (credit += calls; credit >= 1 && !line.empty(); credit -= 1) {
-      const auto o = line.front();
-      line.pop_front();
+    for (credit += calls; credit >= 1 && !queue.empty(); credit -= 1) {
+      const auto o = queue.front();
+      queue.pop_front();
       const double total = counts[o.call.name] += o.call.amount;
-      const bool in_time = now - o.made < 50ms;
+      const bool in_time = now - o.sent_at < 50ms;
       ++(in_time ? answered : late);
       auto& h = hosts[o.host];
       h.now = now;
       h.deliver(CountAnswer{o.call.name, in_time ? CountOutcome::ok : CountOutcome::timeout, total,
-                            std::min<Duration>(now - o.made, 50ms)});
+                            std::min<Duration>(now - o.sent_at, 50ms)});
       collect(o.host);
     }
     credit = std::min(credit, 1.0);
@@ -609,19 +610,19 @@
   double credit = 0;
 };
 
-TEST(Leases, AFleetThatOutgrewItsCounterKeepsCallsAnswered) {
+TEST(Leases, FleetThatOutgrewItsCounterKeepsCallsAnswered) {
   Fleet f(200);
   std::mt19937_64 rng(7);
   for (int ms = 0; ms < 12000; ++ms) {
-    if (ms == 6000) f.answered = f.late = 0;   // settled by then
-    f.request(rng() % 200, 1 + rng() % 2000);  // 1000 requests a second, mostly a call each; it takes 400
+    if (ms == 6000) f.answered = f.late = 0;   // the rate has converged by then
+    f.request(rng() % 200, 1 + rng() % 2000);  // 1000 requests a second, mostly a call each; capacity 400
     f.step(0.4);
   }
-  EXPECT_GT(f.answered, 1200);    // half of what it can take
-  EXPECT_LT(f.late, f.answered);  // a bound of one call out a gateway leaves hardly any answered in time
+  EXPECT_GT(f.answered, 1200);    // half of its capacity
+  EXPECT_LT(f.late, f.answered);  // one call in flight per gateway would leave hardly any answered in time
 }
 
-TEST(Leases, WhileCallsAreShortOneRequestOfACalmCustomerPassesOnCreditAndIsOwed) {
+TEST(Leases, WhileCallsAreShortOneRequestOfACustomerInsideItsQuotaIsAdmittedOnCredit) {
   auto s = settings();
   s.fleet_size = 400;
   Host h(s);
@@ -637,10 +638,10 @@
   EXPECT_LE(calls, 3);
   EXPECT_GE(sent, 7);
   h.deliver(Arrival{RequestId{50}, ClassIndex{0}, PlanIndex{0}, CustomerId{10}, 1s, 1, 200, false});
-  EXPECT_FALSE(h.has<Send>());  // once for a customer and window
-  h.now += 1900ms;              // a window lasts 2 s; this customer's may have rolled
+  EXPECT_FALSE(h.has<Send>());  // once per customer and window
+  h.now += 1900ms;              // a window lasts 2 s; this customer's may have ended
   h.deliver(Arrival{RequestId{51}, ClassIndex{0}, PlanIndex{0}, CustomerId{10}, 1s, 1, 200, false});
-  EXPECT_FALSE(h.has<Send>());  // comes more often than to a gateway with an even part
+  EXPECT_FALSE(h.has<Send>());  // comes more often than an even share of its rate
 }
 
 TEST(Leases, NoCreditUnderACeilingNorWhileTheCounterFails) {
@@ -667,7 +668,7 @@
   EXPECT_EQ(sent, 0);
 }
 
-TEST(Streams, OnlyWhatAServerWorksOnCountsAsItsLoad) {
+TEST(Streams, OnlyAttemptsBeingProcessedCountAsLoad) {
   auto free = settings();
   free.plans = {{.name = "free"}};
   free.counter = false;
@@ -680,22 +681,22 @@
   };
   std::uint64_t c = 1;
   while (request(c) == c) ++c;
-  const auto most = sent.size();  // the next ones wait for a place
-  ASSERT_GE(most, 2U);
-  std::size_t more = 0;
-  for (int twice = 0; twice < 2; ++twice)  // told twice it counts once
-    for (std::size_t i = 0; i < most; ++i) {
+  const auto limit = sent.size();  // later requests wait for capacity
+  ASSERT_GE(limit, 2U);
+  std::size_t more_sent = 0;
+  for (int twice = 0; twice < 2; ++twice)  // a repeated event counts once
+    for (std::size_t i = 0; i < limit; ++i) {
       h.deliver(AttemptWaits{sent[i].request, 0, true});
-      more += h.actions<Send>().size();
+      more_sent += h.actions<Send>().size();
     }
-  EXPECT_GE(more, 1U) << "who waited for a place has one";
-  for (std::size_t i = 0; i < most; ++i) h.deliver(AttemptWaits{sent[i].request, 0, false});
+  EXPECT_GE(more_sent, 1U) << "a waiting request was sent";
+  for (std::size_t i = 0; i < limit; ++i) h.deliver(AttemptWaits{sent[i].request, 0, false});
   const auto before = sent.size();
   request(++c);
-  EXPECT_EQ(sent.size(), before) << "with all of them worked on there is none";
+  EXPECT_EQ(sent.size(), before) << "no capacity while all attempts are processed";
 }
 
-TEST(Streams, WhatCannotBeSentAgainIsNot) {
+TEST(Streams, RequestThatCannotBeSentAgainIsNotRetried) {
   for (const bool last : {false, true}) {
     Host h;
     h.list_servers(4);
@@ -705,11 +706,11 @@
     e.last = last;
     h.deliver(e);
     EXPECT_EQ(h.has<Send>(), !last);
-    EXPECT_EQ(h.has<Refuse>(), last) << "it never ran: trying again does no harm";
+    EXPECT_EQ(h.has<Refuse>(), last) << "it never ran: a retry does no harm";
   }
 }
 
-TEST(Leases, WhatACallIsWorthDecidesWhoGetsTheNextOne) {
+TEST(Leases, CallOfTheHighestValueIsMadeFirst) {
   auto s = settings();
   s.classes[2].worth = 5;
   s.fleet_size = 400;
@@ -717,13 +718,13 @@
   h.list_servers(8);
   for (std::uint64_t c = 100; c < 104; ++c) {
     h.request(c, 0, 1, 1);
-    EXPECT_FALSE(h.has<AddToCount>());  // the first call is left to what is worth more
+    EXPECT_FALSE(h.has<AddToCount>());  // the first call is reserved for a higher value
   }
   h.request(200, 2, 1, 1);
   EXPECT_TRUE(h.has<AddToCount>());
 }
 
-TEST(Leases, NothingIsLeasedAheadWhereOneRequestIsMoreThanAnEvenPart) {
+TEST(Leases, NoReserveWhereOneRequestExceedsAnEvenShare) {
   auto s = settings();
   s.plans[0].burst = 3;
   s.max_units = 4;
@@ -731,14 +732,14 @@
   h.list_servers(4);
   for (int i = 0; i < 60; ++i) {
     h.now += 100ms;
-    h.request(1, 0, 2);  // of 3, at two gateways
+    h.request(1, 0, 2);  // of 3 units, at two gateways
     EXPECT_LE(h.actions<AddToCount>().size(), 1u);
     for (const auto& c : h.actions<AddToCount>()) h.answer_count(c, c.amount);
     for (const auto& send : h.actions<Send>()) h.end_attempt(send, Outcome::ok, true);
   }
 }
 
-TEST(Leases, WaitingForTheCounterEndsEarlyEnoughToTryAgain) {
+TEST(Leases, WaitingForTheCounterEndsEarlyEnoughToRetry) {
   Host h;
   h.list_servers(2);
   h.request();
@@ -747,9 +748,9 @@
   EXPECT_TRUE(h.has<Refuse>());
 }
 
-// ---- Final answers and rule 2 -----------------------------------------------------------------------
+// ---- Final answers and retries ----------------------------------------------------------------------
 
-TEST(Answers, NoServersMeansAPromptRefusalWithAdvice) {
+TEST(Answers, NoServersMeansAPromptRefusalWithRetryAfter) {
   Host h;
   EXPECT_FALSE(h.request_granted());
   ASSERT_TRUE(h.has<Refuse>());
@@ -785,14 +786,14 @@
   }
 }
 
-TEST(Answers, ATimerThatComesAHairEarlyIsSetAgain) {
+TEST(Answers, TimerThatFiresSlightlyEarlyIsSetAgain) {
   Host h;
   h.list_servers(2);
   auto timers = h.actions<SetTimer>();
   h.request();
   if (h.has<SetTimer>()) timers = h.actions<SetTimer>();
   for (int i = 0; i < 2000 && !h.has<Refuse>(); ++i) {
-    ASSERT_FALSE(timers.empty()) << "nothing would wake the gateway again";
+    ASSERT_FALSE(timers.empty()) << "no timer is set";
     h.now += std::max(timers[0].delay - 1ns, 1ns);
     h.deliver(TimerDue{timers[0].timer});
     timers = h.actions<SetTimer>();
@@ -800,7 +801,7 @@
   EXPECT_TRUE(h.has<Refuse>());
 }
 
-TEST(Answers, UnsafeThatMayHaveRunFails) {
+TEST(Answers, UnsafeRequestThatMayHaveRunFails) {
   Host h;
   h.list_servers(4);
   const auto s = h.request_granted(1, 2);
@@ -811,7 +812,7 @@
   EXPECT_TRUE(h.has<Fail>());
 }
 
-TEST(Answers, NothingMoreForAFinishedRequest) {
+TEST(Answers, FinishedRequestCausesNoMoreActions) {
   Host h;
   h.list_servers(4);
   const auto s = h.request_granted();
@@ -825,7 +826,7 @@
 
 // ---- Servers ----------------------------------------------------------------------------------------
 
-TEST(Servers, DrainedOrGoneGetNothingNew) {
+TEST(Servers, DrainingOrRemovedServersGetNoRequests) {
   Host h;
   h.list_servers(2);
   h.deliver(
@@ -835,7 +836,7 @@
   EXPECT_TRUE(h.has<Refuse>());
 }
 
-TEST(Servers, AColdServerGetsALittle) {
+TEST(Servers, ColdServerGetsASmallShare) {
   Host h;
   h.list_servers(4);
   for (int i = 0; i < 40; ++i) {
@@ -853,14 +854,14 @@
     }
   }
   EXPECT_GE(cold, 1);
-  EXPECT_LE(cold, 6);  // of 60, where a warm one gets 15 or more
+  EXPECT_LE(cold, 6);  // of 60; a warm server gets at least 15
 }
 
-TEST(Servers, AFleetOfHundredsSendsAColdServerItsShareFromTheStart) {
+TEST(Servers, LargeFleetSendsAColdServerItsShareFromTheStart) {
   auto s = settings();
   s.fleet_size = 300;
   int cold = 0, all = 0;
-  for (std::uint64_t g = 0; g < 300; ++g) {  // each sends some requests while the server warms up
+  for (std::uint64_t g = 0; g < 300; ++g) {  // each sends a few requests while the server warms up
     Host h(s, g);
     h.list_servers(10);
     for (int i = 0; i < 6; ++i) {
@@ -877,11 +878,11 @@
       }
     }
   }
-  EXPECT_GE(cold, all / 200);  // a tenth would be even; its share is a fifth of that and grows
+  EXPECT_GE(cold, all / 200);  // an even share is a tenth; a cold server starts at a fifth of that
   EXPECT_LE(cold, all / 20);
 }
 
-TEST(Servers, WhenAllAreColdTheyShareWhatComesIn) {
+TEST(Servers, WhenAllServersAreColdTheyShareTheArrivals) {
   Host h;
   h.list_servers(4, Time{1h});
   int sent = 0;
@@ -896,11 +897,11 @@
   EXPECT_LE(sent, 60);
 }
 
-TEST(Servers, ClientsWithLittleTimeLeftAreNoSignOfLoad) {
-  const auto room_after = [](int impatient) {
+TEST(Servers, TimeoutsOfImpatientClientsDoNotLowerTheLimit) {
+  const auto sent_after = [](int impatient_clients) {
     Host h;
     h.list_servers(2);
-    for (int i = 0; i < impatient; ++i) {
+    for (int i = 0; i < impatient_clients; ++i) {
       h.now += 20ms;
       const auto s = h.request_granted(static_cast<std::uint64_t>(100 + i), 2);
       if (s) h.end_attempt(*s, Outcome::timeout, true, 150ms);  // of an aim of 500 ms
@@ -912,10 +913,10 @@
     }
     return sent;
   };
-  EXPECT_GE(room_after(30), room_after(0) - 1);
+  EXPECT_GE(sent_after(30), sent_after(0) - 1);
 }
 
-TEST(Servers, OneThatCannotBeReachedIsLeftOutAndProbed) {
+TEST(Servers, UnreachableServerIsEjectedAndProbed) {
   Host h;
   h.list_servers(3);
   const auto s = h.request_granted();
@@ -932,7 +933,7 @@
   EXPECT_TRUE(probed);
 }
 
-TEST(Servers, WhenAllLookBadTheyAreStillUsed) {
+TEST(Servers, WhenAllServersLookBadTheyAreStillUsed) {
   Host h;
   h.list_servers(2);
   for (int i = 0; i < 8; ++i) {
@@ -943,7 +944,7 @@
   EXPECT_TRUE(h.request_granted(99));
 }
 
-TEST(Servers, LateAnswersShrinkWhatIsKeptAtTheServersAndTheRestIsRefusedEarly) {
+TEST(Servers, LateAnswersLowerTheInFlightLimitAndExcessIsRefusedEarly) {
   Host h;
   h.list_servers(2);
   std::vector<Send> out;
@@ -957,7 +958,7 @@
   EXPECT_LT(before, 40u);
   h.now += 700ms;
   h.deliver(TimerDue{TimerId{1}});
-  EXPECT_TRUE(h.has<Refuse>());  // those that waited a part of their aim
+  EXPECT_TRUE(h.has<Refuse>());  // requests that waited for the allowed fraction of their aim
   for (std::uint64_t round = 2; round < 6; ++round) {
     for (const auto& s : std::vector(out)) h.end_attempt(s, Outcome::ok, true, 700ms);
     fill(1000 * round);
@@ -965,10 +966,10 @@
   EXPECT_LT(out.size(), before);
 }
 
-TEST(Servers, OfHundredsOfGatewaysEachKeepsLessThanOneRequestAtServersThatAreLate) {
-  auto settings_of_many = settings();
-  settings_of_many.fleet_size = 1000;
-  Host h(settings_of_many);
+TEST(Servers, LateAnswersInALargeFleetLowerTheLimitBelowOneRequest) {
+  auto large_fleet = settings();
+  large_fleet.fleet_size = 1000;
+  Host h(large_fleet);
   h.list_servers(20);
   int sent = 0;
   for (int i = 0; i < 260; ++i) {
@@ -979,19 +980,19 @@
     h.now += 1s;
     h.deliver(TimerDue{TimerId{1}});
   }
-  EXPECT_LT(sent, 100);  // of 200: a share of them
+  EXPECT_LT(sent, 100);  // of 200
   EXPECT_GT(sent, 0);
 }
 
-TEST(Servers, WhenTheBoundIsTightWhatIsWorthMostHasAPlaceFirst) {
+TEST(Servers, TightLimitAdmitsRequestsOfHighWorthFirst) {
   auto many = settings();
   many.fleet_size = 1000;
   many.classes[2].worth = 5;
-  int cheap = 0, dear = 0;
+  int low_worth = 0, high_worth = 0;
   for (std::uint64_t g = 0; g < 60; ++g) {
     Host h(many, g);
     h.list_servers(20);
-    for (int i = 0; i < 12; ++i) {  // late answers tighten the bound, though not to the least
+    for (int i = 0; i < 12; ++i) {  // late answers lower the limit, though not to its minimum
       h.now += 3s;
       if (const auto s = h.request_granted(static_cast<std::uint64_t>(100 + i), 2))
         h.end_attempt(*s, Outcome::ok, true, 450ms);  // of an aim of 500 ms
@@ -1000,12 +1001,12 @@
     }
     h.now += 3s;
     const auto sent = h.request_granted(900, g % 2 == 0 ? 0 : 2);
-    (g % 2 == 0 ? cheap : dear) += sent.has_value();
+    (g % 2 == 0 ? low_worth : high_worth) += sent.has_value();
   }
-  EXPECT_GT(dear, cheap + 5);
+  EXPECT_GT(high_worth, low_worth + 5);
 }
 
-TEST(Servers, TimeoutsOfAllServersAreLoadNotIllness) {
+TEST(Servers, TimeoutsOfAllServersEjectNone) {
   Host h;
   h.list_servers(2);
   for (int i = 0; i < 20; ++i) {
@@ -1017,7 +1018,7 @@
   EXPECT_TRUE(h.request_granted(99));
 }
 
-TEST(Servers, ABrokenConnectionNowAndThenLeavesAServerInUse) {
+TEST(Servers, OccasionalBrokenConnectionsLeaveAServerInUse) {
   Host h;
   h.list_servers(3);
   std::set<ServerId> used;
@@ -1032,27 +1033,27 @@
   EXPECT_EQ(used.size(), 3u);
 }
 
-TEST(Servers, OneThatTurnsWorkAwayGetsLessAndTheOthersGoOn) {
+TEST(Servers, RejectingServerGetsLessAndTheOthersServe) {
   Host h;
   h.list_servers(3);
-  int to_full = 0, served = 0;
+  int sent_to_full = 0, served = 0;
   for (int i = 0; i < 90; ++i) {
     h.now += 30ms;
     auto s = h.request_granted(static_cast<std::uint64_t>(100 + i), 2);
     std::uint32_t attempt = 0;
     while (s && s->server == ServerId{1}) {
-      if (i >= 30) ++to_full;
+      if (i >= 30) ++sent_to_full;
       h.end_attempt(*s, Outcome::full, false, 1ms, attempt++);
       const auto again = h.actions<Send>();
       s = again.empty() ? std::nullopt : std::optional(again[0]);
     }
     if (s) h.end_attempt(*s, Outcome::ok, true, 20ms, attempt), ++served;
   }
-  EXPECT_LE(to_full, 12);  // of 60
+  EXPECT_LE(sent_to_full, 12);  // of 60
   EXPECT_GE(served, 80);
 }
 
-TEST(Events, UnknownAndStaleIdsDoNothing) {
+TEST(Events, UnknownAndStaleIdsAreIgnored) {
   Host h;
   h.list_servers(1);
   h.deliver(AttemptEnded{RequestId{99}, 0, ServerId{1}, Outcome::ok, 1ms, true, 0, std::nullopt});
--- a/tests/host.hpp
+++ b/tests/host.hpp
@@ -1,4 +1,4 @@
-// A small host for tests: keeps the clock, hands events in and sorts the actions by kind.
+// A minimal host for tests: keeps the clock, delivers events and selects the actions by type.
 #pragma once
 
 #include <algorithm>
@@ -41,6 +41,7 @@
   return s;
 }
 
+// A gateway with a clock and the actions of its last event.
 struct Host {
   Gateway gateway;
   Time now{1h};
@@ -76,11 +77,11 @@
   bool has() const {
     return !actions<T>().empty();
   }
-  // Answers the one call that is out as a counter that holds `total` after it.
+  // Answers a counter call with the total that the counter holds after it.
   void answer_count(const AddToCount& call, double total, CountOutcome o = CountOutcome::ok) {
     deliver(CountAnswer{call.name, o, total, 1ms});
   }
-  // Asks, and grants whatever is leased for it; returns the send if there is one.
+  // Sends a request and grants the lease that it asks for; returns the send if there is one.
   std::optional<Send> request_granted(std::uint64_t customer = 1, std::uint32_t cls = 0) {
     request(customer, cls);
     if (const auto calls = actions<AddToCount>(); !calls.empty() && !has<Send>())
--- a/tests/wide_fleet_test.cpp
+++ b/tests/wide_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What a gateway does otherwise where the settings tell of a wide fleet.
+// Behavior of a gateway that is specific to a wide fleet.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,7 +10,7 @@
 namespace snowknot::test {
 namespace {
 
-Settings wide(std::uint32_t index = 0, std::uint32_t fleet = 100) {
+Settings wide_fleet(std::uint32_t index = 0, std::uint32_t fleet = 100) {
   auto s = settings();
   s.plans = {{.name = "free"}};
   s.counter = false;
@@ -18,7 +18,7 @@
   return s;
 }
 
-// Asks every 100 ms; each request is answered at once as `answer` has it.
+// Sends a request every 100 ms; `answer` ends each attempt at once.
 template <class Answer>
 void run(Host& h, int requests, Answer answer) {
   for (int i = 0; i < requests; ++i) {
@@ -28,41 +28,41 @@
   }
 }
 
-TEST(WideFleet, EachGatewayKeepsToAPartOfTheServersAndAllGetTheirShare) {
+TEST(WideFleet, EachGatewayUsesASubsetAndAllServersGetTheirShare) {
   std::map<ServerId, int> sent;
   for (std::uint32_t g = 0; g < 100; ++g) {
-    Host h(wide(g), g);
+    Host h(wide_fleet(g), g);
     h.list_servers(60);
-    std::set<ServerId> met;
+    std::set<ServerId> used;
     run(h, 120, [&](const Send& s) {
-      met.insert(s.server), ++sent[s.server];
+      used.insert(s.server), ++sent[s.server];
       h.end_attempt(s, Outcome::ok, true, 100ms);
     });
-    EXPECT_LE(met.size(), 12u) << "gateway " << g;
-    EXPECT_GE(met.size(), 10u) << "gateway " << g;
+    EXPECT_LE(used.size(), 12u) << "gateway " << g;
+    EXPECT_GE(used.size(), 10u) << "gateway " << g;
   }
   ASSERT_EQ(sent.size(), 60u);
   for (const auto& [server, n] : sent) EXPECT_NEAR(n, 200, 50) << static_cast<std::uint32_t>(server);
 }
 
-TEST(WideFleet, AServerThatComesOrGoesChangesNoOtherGatewaysPartBeyondIt) {
-  Host a(wide(7), 1), b(wide(7), 2);
+TEST(WideFleet, AddedServerChangesASubsetByNoOtherServer) {
+  Host a(wide_fleet(7), 1), b(wide_fleet(7), 2);
   a.list_servers(60), b.list_servers(61);
-  const auto part = [](Host& h) {
-    std::set<ServerId> met;
-    run(h, 120, [&](const Send& s) { met.insert(s.server), h.end_attempt(s, Outcome::ok, true, 100ms); });
-    return met;
+  const auto subset_of = [](Host& h) {
+    std::set<ServerId> used;
+    run(h, 120, [&](const Send& s) { used.insert(s.server), h.end_attempt(s, Outcome::ok, true, 100ms); });
+    return used;
   };
   std::vector<ServerId> differ;
-  std::ranges::set_symmetric_difference(part(a), part(b), std::back_inserter(differ));
+  std::ranges::set_symmetric_difference(subset_of(a), subset_of(b), std::back_inserter(differ));
   EXPECT_LE(differ.size(), 2u);
 }
 
-TEST(WideFleet, WhenItsPartIsGoneOthersAreFound) {
-  Host h(wide(), 1);
+TEST(WideFleet, OtherServersAreUsedWhenTheSubsetFails) {
+  Host h(wide_fleet(), 1);
   h.list_servers(60);
-  std::set<ServerId> met;
-  run(h, 120, [&](const Send& s) { met.insert(s.server), h.end_attempt(s, Outcome::ok, true, 100ms); });
+  std::set<ServerId> used;
+  run(h, 120, [&](const Send& s) { used.insert(s.server), h.end_attempt(s, Outcome::ok, true, 100ms); });
   std::size_t served = 0;
   std::uint32_t attempts = 0;
   for (int i = 0; i < 40; ++i) {
@@ -72,53 +72,53 @@
     for (std::uint32_t n = 0; !sends.empty(); ++n) {
       const auto s = sends[0];
       ++attempts;
-      h.end_attempt(s, met.contains(s.server) ? Outcome::connect_failed : Outcome::ok,
-                    !met.contains(s.server), 1ms, n);
-      served += !met.contains(s.server);
+      h.end_attempt(s, used.contains(s.server) ? Outcome::connect_failed : Outcome::ok,
+                    !used.contains(s.server), 1ms, n);
+      served += !used.contains(s.server);
       sends = h.actions<Send>();
     }
   }
-  // A connection that fails is no work and needs no budget for repeats; each server is found gone about once.
+  // A failed connect is no work, so its retry needs no budget; each server is found unreachable about once.
   EXPECT_EQ(served, 40u);
-  EXPECT_LE(attempts, 40u + 2 * met.size());
+  EXPECT_LE(attempts, 40u + 2 * used.size());
 }
 
-TEST(WideFleet, AFewLateAnswersLeaveRoomWhereTheBoundIsHardlyUsed) {
-  Host h(wide(), 1);
+TEST(WideFleet, FewLateAnswersDoNotLowerAnUnusedLimit) {
+  Host h(wide_fleet(), 1);
   h.list_servers(60);
   int n = 0, refused = 0;
-  for (int i = 0; i < 400; ++i) {  // one in ten is late, as work varies; never more than one is out
+  for (int i = 0; i < 400; ++i) {  // one in ten is late, as work varies; at most one is in flight
     h.now += 100ms;
     h.request();
     for (const auto& s : h.actions<Send>())
       h.end_attempt(s, Outcome::ok, true, ++n % 10 == 0 ? 600ms : 100ms);
   }
-  std::vector<Send> out;
+  std::vector<Send> sent;
   for (int i = 0; i < 4; ++i) {
     h.request();
-    for (const auto& s : h.actions<Send>()) out.push_back(s);
+    for (const auto& s : h.actions<Send>()) sent.push_back(s);
     refused += static_cast<int>(h.actions<Refuse>().size());
   }
-  EXPECT_EQ(out.size(), 4u);
+  EXPECT_EQ(sent.size(), 4u);
   EXPECT_EQ(refused, 0);
 }
 
-TEST(WideFleet, AServerThatHoldsARequestForLongGetsNoMoreBeforeItHasEnded) {
-  Host h(wide(), 1);
+TEST(WideFleet, ServerWithAnOverlongRequestGetsNoMoreUntilItEnds) {
+  Host h(wide_fleet(), 1);
   h.list_servers(60);
   run(h, 60, [&](const Send& s) { h.end_attempt(s, Outcome::ok, true, 100ms); });
   std::optional<Send> stuck;
-  int there = 0;
+  int sent_there = 0;
   run(h, 60, [&](const Send& s) {
     if (!stuck) return void(stuck = s);
-    there += s.server == stuck->server;
+    sent_there += s.server == stuck->server;
     h.end_attempt(s, Outcome::ok, true, 100ms);
   });
-  EXPECT_LE(there, 1);
+  EXPECT_LE(sent_there, 1);
 }
 
-TEST(WideFleet, AServerThatTurnsWorkAwayIsLeftOutAtOnceAndTheRequestGoesOn) {
-  Host h(wide(), 1);
+TEST(WideFleet, FullServerIsEjectedAtOnceAndTheRequestIsRetried) {
+  Host h(wide_fleet(), 1);
   h.list_servers(60);
   const auto first = h.request_granted();
   ASSERT_TRUE(first);
@@ -132,8 +132,8 @@
   }
 }
 
-TEST(WideFleet, BeingTurnedAwayNeedsNoBudgetForRepeats) {
-  Host h(wide(), 1);
+TEST(WideFleet, RetryAfterAFullServerNeedsNoBudget) {
+  Host h(wide_fleet(), 1);
   h.list_servers(60);
   int served = 0;
   for (int i = 0; i < 30; ++i) {
@@ -146,11 +146,11 @@
   EXPECT_EQ(served, 30);
 }
 
-// It looks idle, as it fails at once: the more so the less each gateway learns of it.
-TEST(WideFleet, AServerThatFailsAtOnceIsLeftOutAfterOneFailure) {
+// A server that fails at once looks idle, all the more as each gateway sees few of its answers.
+TEST(WideFleet, FailingServerIsEjectedAfterOneFailure) {
   int failures = 0, sent = 0;
   for (std::uint32_t g = 0; g < 100; ++g) {
-    Host h(wide(g), g);
+    Host h(wide_fleet(g), g);
     h.list_servers(60);
     run(h, 60, [&](const Send& s) {  // 6 s
       const bool bad = static_cast<std::uint32_t>(s.server) <= 10;
@@ -159,31 +159,31 @@
     });
   }
   EXPECT_LE(failures,
-            sent / 12);  // a sixth of the servers; each pair of gateway and server meets about 5 times
+            sent / 12);  // a sixth of the servers fail; a gateway uses each about 5 times
 }
 
-TEST(WideFleet, AServerFoundSlowGetsLittleForSomeSeconds) {
-  Host h(wide(), 1);
+TEST(WideFleet, SlowServerGetsFewRequestsForSomeSeconds) {
+  Host h(wide_fleet(), 1);
   h.list_servers(60);
   ServerId slow{};
-  int there = 0;
+  int sent_there = 0;
   run(h, 60, [&](const Send& s) { h.end_attempt(s, Outcome::ok, true, 100ms), slow = s.server; });
   run(h, 60, [&](const Send& s) {
-    there += s.server == slow;
+    sent_there += s.server == slow;
     h.end_attempt(s, Outcome::ok, true, s.server == slow ? 1s : 100ms);
   });
-  EXPECT_LE(there, 2);  // an even part is 5
+  EXPECT_LE(sent_there, 2);  // an even share is 5
 }
 
-// The line at the counter that a hundred gateways make is seen by each only in its own few calls.
-TEST(WideFleet, CallsAreHeldBackWhenAnswersSlowDownBeforeTheyTimeOut) {
+// A queue at the counter caused by a hundred gateways shows to each only in its own few calls.
+TEST(WideFleet, CallRateFallsWithSlowAnswersBeforeTheyTimeOut) {
   const auto calls_in = [](std::uint32_t fleet, Duration took) {
     auto s = settings();
     s.fleet_size = fleet;
     Host h(s, 1);
     h.list_servers(20);
     int calls = 0;
-    for (int i = 0; i < 600; ++i) {  // 30 s, of which the last 10 count
+    for (int i = 0; i < 600; ++i) {  // 30 s, of which the last 10 s are counted
       h.now += 50ms;
       h.request(static_cast<std::uint64_t>(1000 + i));
       auto pending = h.actions<AddToCount>();
@@ -195,17 +195,16 @@
     }
     return calls;
   };
-  EXPECT_LT(calls_in(100, 13ms), calls_in(100, 4ms));  // of a time-out of 50 ms
-  EXPECT_EQ(calls_in(2, 13ms), calls_in(2, 4ms));      // alone that is no line yet
+  EXPECT_LT(calls_in(100, 13ms), calls_in(100, 4ms));  // of a timeout of 50 ms
+  EXPECT_EQ(calls_in(2, 13ms), calls_in(2, 4ms));      // for a small fleet that is no queue yet
 }
 
-// A customer of which each of a hundred gateways sees little, over a counter that keeps count; what is sent on against an
-// exact store of units.
-struct Use {
-  double inside = 0, beyond = 0,
-         offered = 0;  // shares of what the quota gives in that time; offered: asked inside it
+// Use of a quota by a customer that spreads its requests over a hundred gateways, measured against an exact
+// token bucket. All are fractions of the units that the quota grants in the run.
+struct QuotaUse {
+  double inside = 0, beyond = 0, offered = 0;  // offered: demand inside the quota
 };
-Use use_of_quota(double asked, double rate, double burst, std::uint64_t seed) {
+QuotaUse use_of_quota(double demand, double rate, double burst, std::uint64_t seed) {
   auto s = settings();
   s.fleet_size = 100;
   s.plans = {{.name = "plain", .rate = rate, .burst = burst}};
@@ -217,27 +216,27 @@
   }
   std::map<CountName, double> counts;
   std::mt19937_64 random(seed);
-  double sent_store = burst, asked_store = burst;
-  Use use;
+  double sent_bucket = burst, offered_bucket = burst;
+  QuotaUse use;
   Time now{1h};
-  const auto take = [](double& store) { return store >= 1 ? (store -= 1, true) : false; };
+  const auto take = [](double& bucket) { return bucket >= 1 ? (bucket -= 1, true) : false; };
   constexpr auto kSpan = 120s;
   while (now < Time(1h) + kSpan) {
-    const auto gap = std::exponential_distribution<double>(asked * rate)(random);
+    const auto gap = std::exponential_distribution<double>(demand * rate)(random);
     now += std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap));
-    for (auto* store : {&sent_store, &asked_store}) *store = std::min(burst, *store + gap * rate);
+    for (auto* bucket : {&sent_bucket, &offered_bucket}) *bucket = std::min(burst, *bucket + gap * rate);
     auto& h = hosts[random() % hosts.size()];
     h.now = now;
     h.deliver(
         Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(0), CustomerId(7), 1s, 1, 100, false});
-    use.offered += take(asked_store);
+    use.offered += take(offered_bucket);
     for (auto pending = h.last_actions; !pending.empty();) {
       std::vector<Action> next;
       for (const auto& action : pending) {
         if (const auto* c = std::get_if<AddToCount>(&action)) {
           h.answer_count(*c, counts[c->name] += c->amount);
         } else if (const auto* sent = std::get_if<Send>(&action)) {
-          ++(take(sent_store) ? use.inside : use.beyond);
+          ++(take(sent_bucket) ? use.inside : use.beyond);
           h.end_attempt(*sent, Outcome::ok, true, 100ms);
         } else {
           continue;
@@ -247,20 +246,20 @@
       pending = std::move(next);
     }
   }
-  const double given = rate * std::chrono::duration<double>(kSpan).count();
-  return {use.inside / given, use.beyond / given, use.offered / given};
+  const double granted = rate * std::chrono::duration<double>(kSpan).count();
+  return {use.inside / granted, use.beyond / granted, use.offered / granted};
 }
 
-TEST(WideFleet, WhoAsksMoreThanItsQuotaGetsAboutThatAndWhoAsksLessGetsItAll) {
+TEST(WideFleet, DemandOverTheQuotaGetsAboutTheQuotaAndLowerDemandIsMet) {
   for (const auto& [rate, burst] : {std::pair{0.65, 3.0}, {2.9, 15.0}, {12.0, 24.0}}) {
-    for (const double asked : {0.4, 0.9, 1.3, 1.8, 4.0}) {
-      Use mean;
+    for (const double demand : {0.4, 0.9, 1.3, 1.8, 4.0}) {
+      QuotaUse mean;
       for (const std::uint64_t seed : {1, 2, 3}) {
-        const auto u = use_of_quota(asked, rate, burst, seed);
+        const auto u = use_of_quota(demand, rate, burst, seed);
         mean.inside += u.inside / 3, mean.beyond += u.beyond / 3, mean.offered += u.offered / 3;
       }
-      EXPECT_LE(mean.beyond, 0.33) << "asked " << asked << " times " << rate;
-      EXPECT_GE(mean.inside, 0.92 * mean.offered) << "asked " << asked << " times " << rate;
+      EXPECT_LE(mean.beyond, 0.33) << "demand " << demand << " times " << rate;
+      EXPECT_GE(mean.inside, 0.92 * mean.offered) << "demand " << demand << " times " << rate;
     }
   }
 }
@@ -275,7 +274,7 @@
     Host h(s, 1);
     h.list_servers(60);
     bool sent = false;
-    for (int i = 0; i < 40 && !sent; ++i) {  // 4 s: two fillings of the store
+    for (int i = 0; i < 40 && !sent; ++i) {  // 4 s: the bucket fills twice
       h.now += 100ms;
       h.deliver(Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(plan), CustomerId(7), 1s, 4,
                         100, false});
@@ -287,8 +286,8 @@
   }
 }
 
-TEST(WideFleet, NoCallsAreMadeForWindowsToCome) {
-  const auto ahead = [](std::uint32_t fleet) {
+TEST(WideFleet, NoReservesAreLeased) {
+  const auto reserve_calls = [](std::uint32_t fleet) {
     auto s = settings();
     s.fleet_size = fleet;
     Host h(s, 1);
@@ -296,7 +295,7 @@
     int calls = 0;
     for (int i = 0; i < 100; ++i) {
       h.now += 200ms;
-      h.request(7);  // its store fills in 2 s
+      h.request(7);  // its bucket fills in 2 s
       auto pending = h.actions<AddToCount>();
       for (std::size_t n = 0; n < pending.size() && n < 20; ++n) {
         calls += pending[n].lifetime > 2s + s.counter_timeout;
@@ -306,26 +305,26 @@
     }
     return calls;
   };
-  EXPECT_GT(ahead(2), 0);
-  EXPECT_EQ(ahead(100), 0);
+  EXPECT_GT(reserve_calls(2), 0);
+  EXPECT_EQ(reserve_calls(100), 0);
 }
 
-// A call for each try is more than a counter may have: who was refused before is the least likely to be granted.
-TEST(WideFleet, ARepeatGetsACallOnlyWhereOneIsSpare) {
+// The counter may not have a call for each try, and a retry is the least likely to be granted.
+TEST(WideFleet, RetryGetsOnlyASpareCall) {
   auto s = settings();
   s.fleet_size = 100;
   Host h(s, 1);
   h.list_servers(60);
-  const auto request = [&](std::uint64_t customer, bool repeat) {
+  const auto request = [&](std::uint64_t customer, bool retry) {
     h.deliver(Arrival{RequestId(h.next_request++), ClassIndex(0), PlanIndex(1), CustomerId(customer), 1s, 1,
-                      100, repeat});
+                      100, retry});
   };
   h.now += 5s;
   request(1, true);
-  EXPECT_TRUE(h.has<AddToCount>());  // nobody else wants it
+  EXPECT_TRUE(h.has<AddToCount>());  // no other request waits
   for (std::uint64_t c = 2; !h.has<Refuse>() && c < 10; ++c) {
     request(c, true);
-    EXPECT_TRUE(h.has<AddToCount>() || h.has<Refuse>());  // none waits for one
+    EXPECT_TRUE(h.has<AddToCount>() || h.has<Refuse>());  // none waits for a call
   }
   ASSERT_TRUE(h.has<Refuse>());
   EXPECT_GT(h.actions<Refuse>()[0].retry_after, Duration{});
@@ -333,12 +332,12 @@
   EXPECT_FALSE(h.has<Refuse>());
 }
 
-// What all gateways together send a cold server, where most of the servers are cold.
-TEST(WideFleet, ColdServersAreWarmedByAllTogetherAndNotPushedOver) {
+// The load of a cold server from all gateways, while most servers are cold.
+TEST(WideFleet, ColdServersAreWarmedUpByTheFleetWithoutOverload) {
   constexpr int kServers = 60, kWarm = 24;
   std::map<ServerId, std::vector<double>> cold_sends;
   for (std::uint32_t g = 0; g < 100; ++g) {
-    Host h(wide(g), g);
+    Host h(wide_fleet(g), g);
     h.list_servers(kServers);
     run(h, 100, [&](const Send& s) { h.end_attempt(s, Outcome::ok, true, 100ms); });
     ListUpdate u{ListKind::changes, {}};
@@ -352,17 +351,17 @@
       h.end_attempt(s, Outcome::ok, true, 100ms);
     });
   }
-  // The warm ones take all else, so they are able to do that. In 3 s a cold one may be sent twice what it can do, a
-  // fifth of a warm one at first, as all of the settings have it.
-  const double able = 100.0 * 10 / (kWarm + 0.2 * (kServers - kWarm));
+  // The warm servers get all other requests and must be able to serve them. In 3 s a cold one may be sent
+  // twice its capacity, which is a fifth of a warm one's at first, as in all settings.
+  const double warm_rate = 100.0 * 10 / (kWarm + 0.2 * (kServers - kWarm));
   for (const auto& [server, times] : cold_sends) {
     const auto n = std::ranges::count_if(times, [](double t) { return t < 3; });
-    EXPECT_LE(n, 3 * 2 * 0.2 * able) << static_cast<std::uint32_t>(server);
+    EXPECT_LE(n, 3 * 2 * 0.2 * warm_rate) << static_cast<std::uint32_t>(server);
   }
   EXPECT_EQ(cold_sends.size(), static_cast<std::size_t>(kServers - kWarm));
   std::size_t all = 0;
   for (const auto& [server, times] : cold_sends) all += times.size();
-  EXPECT_GE(all, 1600u);  // of 5,000 sends; by what the settings let through it is some 2,300
+  EXPECT_GE(all, 1600u);  // of 5,000 sends; the settings allow about 2,300
 }
 
 }  // namespace
