--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -448,14 +448,14 @@
     // A retry is seldom granted. In a wide fleet each costs a call, so it only gets a spare one.
     if (!lease.calling && wide() && r.retry && !book_.pacer.has_spare()) return refuse(id, r, back_off());
     if (!lease.calling && book_.pacer.is_short(call_value(r))) {
-      if (may_pass_on_credit(r, lease)) {
+      if (may_admit_on_credit(r, lease)) {
         lease.units.credit_used = take_slot(r, lease), at(book_.on_credit, r.plan) += r.units;
         return dispatch(id, r);
       }
       if (now_ + book_.pacer.wait_for(call_value(r)) >= send_by(r))
         return refuse(id, r, back_off());  // no call in time
     }
-    r.repays = may_pass_on_credit(r, lease);
+    r.repays = may_admit_on_credit(r, lease);
     r.stage = Stage::leasing;
     lease.waiting.push_back(id);
     set_alarm(id, r, std::max(now_, send_by(r)));
@@ -543,7 +543,7 @@
   // the customer comes here no more often than an even share of its rate would, and was not found over its
   // quota lately. Avoids refusing most requests inside quotas when the fleet has outgrown its counter. It
   // admits too much when a customer over its quota comes once to each of many gateways.
-  bool may_pass_on_credit(const Request& r, const Lease& lease) const {
+  bool may_admit_on_credit(const Request& r, const Lease& lease) const {
     if (quota(r).ceiling || book_.pacer.failures > 1 || lease.units.credit_used) return false;
     if (now_ < lease.demand_at + kCustomerMemory) return lease.demand_ratio <= 1;
     return (lease.requests.sum - 1) * r.gateways <=
@@ -852,7 +852,7 @@
   void start_warmup(Server& s, Time from) {
     if (now_ - from >= settings_.warm_within) return;
     s.cold_since = std::max(s.cold_since, from);
-    s.credit = unit_random(), s.credit_at = now_;
+    s.credit = uniform_random(), s.credit_at = now_;
     s.slowness = s.success = 1, s.recent_sends = {};
     s.ejected_until = Time::min(), s.ejection = {}, s.connect_failures = 0;
   }
@@ -1038,7 +1038,7 @@
       if (s.info.zone != settings_.zone) cost *= 1 + kCrossZoneWeight * settings_.cross_zone_price;
       for (const auto& a : r.attempts)
         if (a.server == s.info.id) cost *= 4;  // prefer another server
-      cost *= 1 + 0.05 * unit_random();
+      cost *= 1 + 0.05 * uniform_random();
       if (cost < best) best = cost, chosen = s.info.id;
     }
     return best < std::numeric_limits<double>::infinity() ? Pick::server : eligible ? Pick::wait : Pick::none;
@@ -1047,10 +1047,10 @@
   // ---- 5 Attempts and final answers -----------------------------------------------------------------
 
   const RequestClass& cls(const Request& r) const { return at(settings_.classes, r.cls); }
-  double unit_random() { return static_cast<double>(rng_() >> 11) * 0x1.0p-53; }
+  double uniform_random() { return static_cast<double>(rng_() >> 11) * 0x1.0p-53; }
 
   // Advice after a refusal that is not about quota: about one aim, jittered to spread clients.
-  Duration back_off() { return scaled(settings_.classes.front().aim, 0.5 + unit_random()); }
+  Duration back_off() { return scaled(settings_.classes.front().aim, 0.5 + uniform_random()); }
 
   void on(const Arrival& e) {
     if (requests_.contains(e.request)) return;
@@ -1064,7 +1064,7 @@
     r.units = std::max(0.0, e.units);
     r.gateways = std::clamp(e.gateways, 1u, settings_.fleet_size);
     r.retry = e.is_retry;
-    r.admission_margin = unit_random() + 1 - worth_of(r);
+    r.admission_margin = uniform_random() + 1 - worth_of(r);
     r.arrived = now_, r.deadline = now_ + e.time_left;
     retry_tokens_ = std::min(kMaxRetryTokens, retry_tokens_ + kRetryTokenRate);
     admit(e.request, r);
