--- a/src/system/agreement/messages.hpp
+++ b/src/system/agreement/messages.hpp
@@ -112,9 +112,9 @@
 };
 
 // What is on disk.
-struct Kept {
+struct DurableState {
   std::uint64_t disk = 0;  // the disk's identity; 0: the disk is empty
-  bool any = false;        // the disk holds a state
+  bool has_state = false;  // the disk holds a state
   State state;             // a snapshot, with `log` applied on top by who reads it
   Ballot promised;
   std::vector<std::pair<std::uint64_t, AcceptedChange>> accepted;
@@ -132,12 +132,12 @@
   std::vector<LogEntry> log;
   std::vector<StoreZone> zones;
   std::vector<Voter> destroyed;
-  std::uint64_t forget_accepted = 0;  // places up to here
-  std::uint64_t forget_log = 0;       // places up to here
+  std::uint64_t trim_accepted_through = 0;  // places up to here
+  std::uint64_t trim_log_through = 0;       // places up to here
   bool durable = false;
   bool empty() const {
     return !disk && !state && !promised && accepted.empty() && log.empty() && zones.empty() &&
-           destroyed.empty() && forget_accepted == 0 && forget_log == 0;
+           destroyed.empty() && trim_accepted_through == 0 && trim_log_through == 0;
   }
 };
 
--- a/src/system/agreement/replica.cpp
+++ b/src/system/agreement/replica.cpp
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-Replica::Replica(Options options, Kept kept)
-    : options_(std::move(options)), state_(std::move(kept.state)), rng_(options_.chance) {
+Replica::Replica(Options options, DurableState kept)
+    : options_(std::move(options)), state_(std::move(kept.state)), rng_(options_.random_seed) {
   disk_ = kept.disk;
   promised_ = kept.promised;
   begin_log();
@@ -53,7 +53,7 @@
   round_ = promised_.round;
   numbers_ = rng_();
   status_round_ = rng_();
-  if (kept.any) return;
+  if (kept.has_state) return;
   if (options_.bootstrap) state_.voters = bootstrap_voters(options_.seeds);
   const bool is_seed = std::ranges::find(options_.seeds, options_.self) != options_.seeds.end();
   // Also where an identity is left without a state: what this disk promised is lost.
@@ -63,24 +63,24 @@
   if (has_state()) {
     out_.write.state = state_;
   } else {
-    out_.notes.emplace_back("the disk is empty: a learner without a vote until it has the others' state");
+    out_.log_lines.emplace_back("the disk is empty: a learner without a vote until it has the others' state");
   }
 }
 
-Out Replica::start(Time now) {
+Actions Replica::start(Time now) {
   next_confirm_ = now;
   now_ = now;
   contact_since_ = now;
   for (auto& [voter, since] : destroyed_) since = now;
   for (const auto& address : options_.lost_voters) note_lost_voter(now, address);
-  out_.notes.push_back("starts with " + place_and_digest() + ", disk " + in_hexadecimal(disk_));
+  out_.log_lines.push_back("starts with " + place_and_digest() + ", disk " + in_hexadecimal(disk_));
   return std::exchange(out_, {});
 }
 
 void Replica::note_lost_voter(Time now, const std::string& address) {
   const auto voter = std::ranges::find(state_.voters, address, &Voter::address);
   if (voter == state_.voters.end() || address == options_.self) {
-    out_.notes.push_back("the operators call " + address + " lost, which is no other voter");
+    out_.log_lines.push_back("the operators call " + address + " lost, which is no other voter");
     return;
   }
   note_destroyed(now, *voter, "is lost, as the operators say");
@@ -99,7 +99,7 @@
 }
 
 void Replica::send_at_once(const std::string& to, Message message) {
-  out_.immediate.push_back({to, {identity(), std::move(message)}});
+  out_.immediate_sends.push_back({to, {identity(), std::move(message)}});
 }
 
 void Replica::to_voters(const Message& message) {
@@ -113,13 +113,13 @@
 
 // ---- proposer ------------------------------------------------------------------------------------
 
-Out Replica::propose(Time now, std::uint64_t id, ChangeKind kind, std::string text) {
+Actions Replica::propose(Time now, std::uint64_t id, ChangeKind kind, std::string text) {
   notice_time(now);
   if (kind == ChangeKind::nothing && reads_.size() < kQueued) {
     reads_.push_back({id, now});
     if (has_state() && !confirming_) begin_confirm(now);
   } else if (kind == ChangeKind::nothing || queue_.size() >= kQueued) {
-    out_.settled.push_back({id, 503, "too many calls wait"});
+    out_.completions.push_back({id, 503, "too many calls wait"});
   } else {
     queue_.push_back({id, kind, std::move(text), now, false});
     drive(now);
@@ -129,7 +129,7 @@
 
 void Replica::settle(int status, std::string why) {
   if (queue_.empty()) return;
-  out_.settled.push_back({queue_.front().id, status, std::move(why)});
+  out_.completions.push_back({queue_.front().id, status, std::move(why)});
   queue_.pop_front();
 }
 
@@ -277,12 +277,12 @@
   if (!queue_.empty() && is_late(queue_.front())) ballot_for_first_ = false;
   std::erase_if(queue_, [&](const Proposal& proposal) {
     if (!is_late(proposal)) return false;
-    out_.settled.push_back({proposal.id, 503, "no majority in time"});
+    out_.completions.push_back({proposal.id, 503, "no majority in time"});
     return true;
   });
   std::erase_if(reads_, [&](const Read& read) {
     if (now < read.since + options_.give_up) return false;
-    out_.settled.push_back({read.id, 503, "no majority in time"});
+    out_.completions.push_back({read.id, 503, "no majority in time"});
     return true;
   });
 }
@@ -301,7 +301,7 @@
   std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= slot; });
   out_.chosen.push_back({slot, change});
   out_.write.log.push_back({slot, change});
-  out_.write.forget_accepted = slot;
+  out_.write.trim_accepted_through = slot;
   // From an acceptance the voters of this place learn it again; the voters after it may be others.
   const bool voters_changed = state_.membership != membership;
   if (voters_changed) {
@@ -315,13 +315,13 @@
   if (snapshot_policy_.is_due(logged_, state_bytes_)) {
     begin_log();
     out_.write.state = state_;
-    out_.write.forget_log = state_.position;
+    out_.write.trim_log_through = state_.position;
     out_.write.log.clear();
   }
   if (voters_changed)
-    out_.notes.push_back("membership " + std::to_string(state_.membership) + ": " +
-                         std::to_string(state_.voters.size()) + " voters, " +
-                         (votes() ? "this store is one" : "this store is a learner"));
+    out_.log_lines.push_back("membership " + std::to_string(state_.membership) + ": " +
+                             std::to_string(state_.voters.size()) + " voters, " +
+                             (votes() ? "this store is one" : "this store is a learner"));
   const bool own = change.author == options_.self && change.number == offered_.number && offered_.number != 0;
   // What was decided without effect was begun for another call and not judged on this state: drive() judges it.
   const bool answers_first = own && !queue_.empty() && queue_.front().kind == change.kind &&
@@ -358,7 +358,7 @@
   if (!has_state()) return;
   const bool up_to_date = m.after != kWhole && m.after >= state_.position;
   if (!up_to_date && (m.after == kWhole || !log_.covers(m.after))) {
-    out_.snapshots.push_back({from, m.after == kWhole ? 0 : m.after});
+    out_.snapshot_requests.push_back({from, m.after == kWhole ? 0 : m.after});
     return;
   }
   send(from, Log{log_.after(m.after, kLogBatchBytes), state_.position, digests_.at(m.after)});
@@ -371,15 +371,15 @@
   digests_.note(state_.position, state_.log_digest);
   log_.clear();
   std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= state_.position; });
-  out_.snapshot = true;
+  out_.snapshot_installed = true;
   begin_log();
   out_.write.state = state_;
-  out_.write.forget_log = state_.position;
+  out_.write.trim_log_through = state_.position;
   out_.write.log.clear();
-  out_.write.forget_accepted = state_.position;
+  out_.write.trim_accepted_through = state_.position;
   out_.write.durable = true;
   if (first) {
-    out_.notes.push_back("the others' state is here up to change " + std::to_string(state_.position));
+    out_.log_lines.push_back("the others' state is here up to change " + std::to_string(state_.position));
     announce_status();
   }
   if (ballot_runs()) phase_ = Phase::idle;
@@ -413,7 +413,7 @@
   drive(now);
 }
 
-Out Replica::receive_snapshot(Time now, const State& snapshot) {
+Actions Replica::receive_snapshot(Time now, const State& snapshot) {
   notice_time(now);
   fetched_at_ = {};
   take_snapshot(snapshot);
@@ -456,7 +456,7 @@
 
 // ---- time and messages ---------------------------------------------------------------------------
 
-Out Replica::receive(Time now, const std::string& from, const Envelope& envelope) {
+Actions Replica::receive(Time now, const std::string& from, const Envelope& envelope) {
   notice_time(now);
   notice_history(from, envelope.sender);
   if (is_contradicting(from, envelope.sender)) return std::exchange(out_, {});
@@ -476,7 +476,7 @@
   now_ = now;
 }
 
-Out Replica::tick(Time now) {
+Actions Replica::tick(Time now) {
   notice_time(now);
   watch_contact(now);
   if (now >= next_confirm_) {
@@ -510,7 +510,7 @@
   return std::exchange(out_, {});
 }
 
-Out Replica::leave(Time now) {
+Actions Replica::leave(Time now) {
   notice_time(now);
   if (!leaving_) {
     leaving_ = true;
--- a/src/system/agreement/replica.hpp
+++ b/src/system/agreement/replica.hpp
@@ -25,13 +25,13 @@
 namespace docklift::agreement {
 
 struct Options {
-  std::string self, zone;          // ip; zone
-  std::vector<std::string> seeds;  // ips: the first voters, and who is asked where others are not known
-  bool bootstrap = false;          // the very first start of the whole system
-  bool votes = true;               // may become a voter
-  std::size_t tolerated = 1;       // machines that may be lost at once
+  std::string self, zone;              // ip; zone
+  std::vector<std::string> seeds;      // ips: the first voters, and who is asked where others are not known
+  bool bootstrap = false;              // the very first start of the whole system
+  bool can_vote = true;                // may become a voter
+  std::size_t tolerated_failures = 1;  // machines that may be lost at once
   std::vector<std::string> lost_voters{};  // ips whose voters' disks are lost, as the operators say
-  std::uint64_t chance = 1;
+  std::uint64_t random_seed = 1;
   std::uint64_t new_disk = 2;  // the identity that an empty disk is given; never kBootstrapDisk
   Duration round_limit = std::chrono::milliseconds(500);  // a ballot without an outcome is tried anew
   Duration give_up = std::chrono::milliseconds(5000);     // a proposal without an outcome gets 503
@@ -47,13 +47,13 @@
 };
 
 // Another store needs a snapshot of a state beyond `after`; the caller sends it, in parts.
-struct SnapshotNeed {
+struct SnapshotRequest {
   std::string to;           // ip
   std::uint64_t after = 0;  // what it holds
 };
 
 // The outcome of a proposal or read barrier.
-struct Settled {
+struct Completion {
   std::uint64_t id = 0;
   int status = 200;  // 200, 400, 404, 412; 503: no majority in time
   std::string why;
@@ -61,35 +61,35 @@
 
 // To be done in this order: `immediate` at once; `write`; then `sends` and `settled`, only when all that was
 // to be written durably till now is on the disk.
-struct Out {
-  std::vector<Send> immediate;  // says nothing that a loss of power could make untrue
+struct Actions {
+  std::vector<Send> immediate_sends;  // says nothing that a loss of power could make untrue
   Write write;
   std::vector<Send> sends;
-  std::vector<Settled> settled;
-  std::vector<SnapshotNeed> snapshots;  // to be sent, as `sends`
-  std::vector<LogEntry> chosen;         // newly in force, in order
-  bool snapshot = false;                // the state was replaced by a snapshot
-  std::vector<std::string> notes;       // for the log
+  std::vector<Completion> completions;
+  std::vector<SnapshotRequest> snapshot_requests;  // to be sent, as `sends`
+  std::vector<LogEntry> chosen;                    // newly in force, in order
+  bool snapshot_installed = false;                 // the state was replaced by a snapshot
+  std::vector<std::string> log_lines;              // for the log
 };
 
 class Replica {
  public:
-  Replica(Options options, Kept kept);
+  Replica(Options options, DurableState kept);
 
-  Out start(Time now);
-  Out receive(Time now, const std::string& from, const Envelope& envelope);
+  Actions start(Time now);
+  Actions receive(Time now, const std::string& from, const Envelope& envelope);
   // A whole snapshot of another store's state; passed over if it is not newer than what is held.
-  Out receive_snapshot(Time now, const State& snapshot);
-  // `id`: the caller's, told back in Settled. `nothing` is a read barrier: it settles when the state is known
+  Actions receive_snapshot(Time now, const State& snapshot);
+  // `id`: the caller's, told back in Completion. `nothing` is a read barrier: it settles when the state is known
   // to hold all that was acknowledged before the call, and does not wait behind changes.
-  Out propose(Time now, std::uint64_t id, ChangeKind kind, std::string text);
-  Out tick(Time now);  // at least each 50 ms
+  Actions propose(Time now, std::uint64_t id, ChangeKind kind, std::string text);
+  Actions tick(Time now);  // at least each 50 ms
   // The store is asked to end: its vote is handed over first where a learner can take it.
-  Out leave(Time now);
-  bool may_end(Time now) const;
+  Actions leave(Time now);
+  bool may_stop(Time now) const;
   void set_seeds(std::vector<std::string> addresses) { options_.seeds = std::move(addresses); }
-  void linked(const std::string& address, const std::string& zone);
-  void unlinked(const std::string& address);
+  void on_link_up(const std::string& address, const std::string& zone);
+  void on_link_down(const std::string& address);
 
   const State& state() const { return state_; }
   // False: the disk was empty and the others' state has not been read yet.
@@ -215,7 +215,7 @@
   LogSinceSnapshot logged_;        // on the disk
   std::uint64_t state_bytes_ = 0;  // of the last snapshot, about
   std::mt19937_64 rng_;
-  Out out_;
+  Actions out_;
 
   std::deque<Proposal> queue_;
   std::vector<Read> reads_;
--- a/src/system/agreement/replica_membership.cpp
+++ b/src/system/agreement/replica_membership.cpp
@@ -40,7 +40,7 @@
   const auto add = [&](const Voter& voter, const std::string& zone) {
     if (!is_voter(voter)) ready.push_back({voter, zone});
   };
-  if (options_.votes && !leaving_) add({options_.self, disk_}, options_.zone);
+  if (options_.can_vote && !leaving_) add({options_.self, disk_}, options_.zone);
   for (const auto& [address, peer] : peers_) {
     if (address == options_.self || !peer.told || !heard_recently(peer)) continue;
     const auto& status = peer.status;
@@ -66,7 +66,7 @@
 
 void Replica::propose_membership(Time now) {
   if (!has_state()) return;
-  const auto next = next_voters(voter_reports(now), ready_learners(), 2 * options_.tolerated + 1);
+  const auto next = next_voters(voter_reports(now), ready_learners(), 2 * options_.tolerated_failures + 1);
   if (!may_have_quorum()) {
     withdraw_membership();
     successors_since_.reset();  // calls wait once more as soon as the change of voters can be decided
@@ -83,7 +83,7 @@
   const auto text = configuration::encode(configuration::MembershipChange{state_.membership, *next});
   const auto waiting = std::ranges::find(queue_, ChangeKind::membership, &Proposal::kind);
   if (waiting == queue_.end()) {
-    out_.notes.push_back("proposes membership " + std::to_string(state_.membership + 1));
+    out_.log_lines.push_back("proposes membership " + std::to_string(state_.membership + 1));
     queue_.push_front({0, ChangeKind::membership, text, now, false});
   } else if (phase_ != Phase::accepting) {
     waiting->text = text;  // what is known by now; nobody has been offered the earlier one in this ballot
@@ -92,7 +92,7 @@
 
 // Another disk at the voter's address, whose store has the others' state and may vote.
 bool Replica::has_successor(const Voter& voter) const {
-  if (voter.address == options_.self) return options_.votes && !leaving_;
+  if (voter.address == options_.self) return options_.can_vote && !leaving_;
   const auto peer = peers_.find(voter.address);
   if (peer == peers_.end() || !peer->second.told || peer->second.disk == voter.disk) return false;
   return peer->second.status.has_state && peer->second.status.eligible;
@@ -117,7 +117,7 @@
   ballot_for_first_ = false;
 }
 
-bool Replica::may_end(Time now) const {
+bool Replica::may_stop(Time now) const {
   if (!votes() || now >= leaving_since_ + options_.leave_limit) return true;
   return std::ranges::none_of(peers_, [&](const auto& entry) {
     const auto& [address, peer] = entry;
--- a/src/system/agreement/replica_quorum.cpp
+++ b/src/system/agreement/replica_quorum.cpp
@@ -16,7 +16,7 @@
 
 // ---- peers ---------------------------------------------------------------------------------------
 
-void Replica::linked(const std::string& address, const std::string& zone) {
+void Replica::on_link_up(const std::string& address, const std::string& zone) {
   auto& peer = peers_[address];
   const bool was_linked = std::exchange(peer.linked, true);
   if (!was_linked) ask_late(address);
@@ -32,7 +32,7 @@
   if (asks && !statuses_.contains(address)) send_at_once(address, StatusRequest{status_round_});
 }
 
-void Replica::unlinked(const std::string& address) {
+void Replica::on_link_down(const std::string& address) {
   if (const auto peer = peers_.find(address); peer != peers_.end()) peer->second.linked = false;
 }
 
@@ -78,7 +78,7 @@
   status.round = round;
   status.position = state_.position;
   status.has_state = has_state();
-  status.eligible = options_.votes;
+  status.eligible = options_.can_vote;
   status.leaving = hands_over();
   status.membership = state_.membership;
   for (const auto& [slot, accepted] : accepted_)
@@ -166,13 +166,13 @@
     return;
   }
   if (!std::exchange(confirmed_once_, true))
-    out_.notes.push_back("a majority stands at " + place_and_digest() + ", the first one of this life");
+    out_.log_lines.push_back("a majority stands at " + place_and_digest() + ", the first one of this life");
   const auto began = confirm_began_;
   for (auto& proposal : queue_)
     if (proposal.since <= began) proposal.sure = true;
   std::erase_if(reads_, [&](const Read& read) {
     if (read.since > began) return false;
-    out_.settled.push_back({read.id, 200, ""});
+    out_.completions.push_back({read.id, 200, ""});
     return true;
   });
   if (!reads_.empty()) begin_confirm(now);
@@ -203,8 +203,9 @@
   auto& peer = peers_[from];
   if (peer.contradicting_disk == disk) return;
   peer.contradicting_disk = disk;
-  out_.notes.push_back("the log of " + from + " up to change " + std::to_string(position) +
-                       " is another one than here: something that was agreed is lost; it is not listened to");
+  out_.log_lines.push_back(
+      "the log of " + from + " up to change " + std::to_string(position) +
+      " is another one than here: something that was agreed is lost; it is not listened to");
 }
 
 // ---- quorums -------------------------------------------------------------------------------------
@@ -226,7 +227,7 @@
   if (!destroyed_.try_emplace(voter, in_sight_since).second) return;
   out_.write.destroyed.push_back(voter);
   out_.write.durable = true;
-  out_.notes.push_back("the disk of voter " + voter.address + " " + why);
+  out_.log_lines.push_back("the disk of voter " + voter.address + " " + why);
 }
 
 bool Replica::is_destroyed(const Voter& voter) const { return destroyed_.contains(voter); }
--- a/src/system/disk/disk.cpp
+++ b/src/system/disk/disk.cpp
@@ -145,9 +145,9 @@
 namespace {
 
 // What a disk lacks that holds the rest; none: nothing. The log follows the state without a gap.
-std::optional<std::string> missing_part(const agreement::Kept& kept) {
-  if (kept.any && kept.disk == 0) return "the identity is missing";
-  if (!kept.any && (!kept.log.empty() || !kept.accepted.empty())) return "the state is missing";
+std::optional<std::string> missing_part(const agreement::DurableState& kept) {
+  if (kept.has_state && kept.disk == 0) return "the identity is missing";
+  if (!kept.has_state && (!kept.log.empty() || !kept.accepted.empty())) return "the state is missing";
   auto position = kept.state.position;
   for (const auto& entry : kept.log) {
     if (entry.slot <= position) continue;
@@ -159,10 +159,10 @@
 
 }  // namespace
 
-Result<agreement::Kept> Disk::read() {
+Result<agreement::DurableState> Disk::read() {
   damaged_ = false;
   if (auto checked = check_writes(); failed(checked)) return failure(checked);
-  agreement::Kept kept;
+  agreement::DurableState kept;
   const std::unique_ptr<leveldb::Iterator> it(db_->NewIterator(verified()));
   for (it->SeekToFirst(); it->Valid(); it->Next()) {
     const auto key = it->key();
@@ -177,7 +177,7 @@
       kept.destroyed.push_back({key.ToString().substr(kDestroyedPrefix.size()), place_of(it->value(), 0)});
     } else if (key == "state") {
       auto state = agreement::decode_state(value);
-      if ((read = state.has_value())) kept.state = std::move(*state), kept.any = true;
+      if ((read = state.has_value())) kept.state = std::move(*state), kept.has_state = true;
     } else if (key == "promised") {
       auto promised = agreement::decode_ballot(value);
       if ((read = promised.has_value())) kept.promised = *promised;
@@ -204,8 +204,8 @@
          it->Next())
       batch.Delete(it->key());
   };
-  forget("accepted/", 9, w.forget_accepted);
-  forget("log/", 4, w.forget_log);
+  forget("accepted/", 9, w.trim_accepted_through);
+  forget("log/", 4, w.trim_log_through);
   for (const auto& store : w.zones) batch.Put(std::string(kZonePrefix) + store.address, store.zone);
   for (const auto& voter : w.destroyed)
     batch.Put(std::string(kDestroyedPrefix) + voter.address, key_of("", voter.disk));
--- a/src/system/disk/disk.hpp
+++ b/src/system/disk/disk.hpp
@@ -35,7 +35,7 @@
   // Sets aside (`*.damaged`) what can't be read, and opens an empty one. Of the machine's files only.
   static Result<std::unique_ptr<Disk>> begin_anew(const std::string& folder);
   // A failure: the disk refused to be read, or it is_damaged().
-  Result<agreement::Kept> read();
+  Result<agreement::DurableState> read();
   // The last read() found a record that can't be understood, or writes missing among others. A disk that only refuses
   // is not damaged: it may be read later.
   bool is_damaged() const { return damaged_; }
--- a/src/system/lease/holder_lease.cpp
+++ b/src/system/lease/holder_lease.cpp
@@ -8,23 +8,23 @@
 constexpr std::size_t kMostRounds = 8;  // whose replies may still come within a lease
 }  // namespace
 
-HolderLease::HolderLease(Terms terms, std::string self, std::uint64_t life, bool remembers, Time now)
-    : terms_(terms),
+HolderLease::HolderLease(Timing timing, std::string self, std::uint64_t life, bool remembers, Time now)
+    : timing_(timing),
       self_(std::move(self)),
       life_(life),
-      silent_until_(remembers ? now : now + terms.lease),
+      silent_until_(remembers ? now : now + timing.duration),
       granted_until_(now) {}
 
 void HolderLease::observe_voters(Time now, Voters voters, std::optional<Time> confirmed_at) {
   const bool changed = knows_voters_ && voters.membership != voters_.membership;
-  if (changed) change_silent_until_ = now + terms_.membership_age + terms_.lease;
+  if (changed) change_silent_until_ = now + timing_.max_membership_age + timing_.duration;
   voters_ = std::move(voters);
   knows_voters_ = true;
   membership_confirmed_at_ = confirmed_at;
 }
 
 bool HolderLease::membership_is_current(Time now) const {
-  return membership_confirmed_at_ && now - *membership_confirmed_at_ <= terms_.membership_age;
+  return membership_confirmed_at_ && now - *membership_confirmed_at_ <= timing_.max_membership_age;
 }
 
 Reply HolderLease::refusal(const Request& request) const {
@@ -53,7 +53,7 @@
     return refusal(request);
   }
   const bool renews = request.holder == granted_to_ && request.term == granted_term_ &&
-                      request.life == granted_life_;
+                      request.incarnation == granted_life_;
   if (now < change_silent_until_ && !(renews && request.holds)) return refusal(request);
   const bool free = now >= granted_until_ || request.holder == granted_to_;
   if (!renews && !(free && request.term > granted_term_)) return refusal(request);
@@ -65,14 +65,14 @@
 void HolderLease::grant(Time now, const Request& request) {
   granted_term_ = request.term;
   granted_to_ = request.holder;
-  granted_life_ = request.life;
-  granted_until_ = now + terms_.lease;
+  granted_life_ = request.incarnation;
+  granted_until_ = now + timing_.duration;
 }
 
 void HolderLease::pass_on(Time now, const Request& release) {
   if (release.holder != granted_to_ || release.term != granted_term_) return;
   granted_to_ = release.successor;
-  granted_until_ = release.successor.empty() ? now : now + terms_.lease;
+  granted_until_ = release.successor.empty() ? now : now + timing_.duration;
   if (release.successor != self_) return;
   next_request_ = now;
   named_ = true;
@@ -83,7 +83,7 @@
   request.term = claimed_term_;
   request.holder = self_;
   request.holds = held_term_ != 0;
-  request.life = life_;
+  request.incarnation = life_;
   request.membership = voters_.membership;
   request.round = round_number_;
   return request;
@@ -101,7 +101,7 @@
     // Claims that cross would hold each other up: who has got no majority gives back what it was granted, and
     // waits by rank.
     if (claimed_term_ != 0 && granted_to_ == self_ && granted_term_ == claimed_term_ && !named_) {
-      next_request_ = now + terms_.stagger * static_cast<int>(rank + 1);
+      next_request_ = now + timing_.claim_stagger * static_cast<int>(rank + 1);
       Request back = request_now();
       back.release = true;
       pass_on(now, back);
@@ -109,8 +109,8 @@
       return back;
     }
     if (!enough || !membership_is_current(now) || now < change_silent_until_) return std::nullopt;
-    auto free_at = std::max(granted_until_, enough_since_) + terms_.stagger * static_cast<int>(rank);
-    if (now < silent_until_) free_at += terms_.hearing;
+    auto free_at = std::max(granted_until_, enough_since_) + timing_.claim_stagger * static_cast<int>(rank);
+    if (now < silent_until_) free_at += timing_.discovery_wait;
     if (!named_ && now < free_at) return std::nullopt;
     named_ = false;
     if (seen_term_ == 0) claimed_first_ = true;
@@ -118,7 +118,7 @@
   } else {
     claimed_term_ = held_term_;
   }
-  next_request_ = now + (held_term_ == 0 ? terms_.renew / 2 : terms_.renew);
+  next_request_ = now + (held_term_ == 0 ? timing_.renew_interval / 2 : timing_.renew_interval);
   ++round_number_;
   const Request request = request_now();
   if (rounds_.size() == kMostRounds) rounds_.pop_front();
@@ -141,7 +141,7 @@
   if (reply.term > claimed_term_) seen_term_ = std::max(seen_term_, reply.term);
   const auto round = std::ranges::find(rounds_, reply.round, &Round::number);
   if (round == rounds_.end() || reply.term != round->term || reply.membership != round->membership) return;
-  if (!reply.granted && !reply.blank) return;
+  if (!reply.granted && !reply.provisional) return;
   if (std::ranges::find(round->voters, from) == round->voters.end()) return;  // it has no vote
   (reply.granted ? round->grants : round->blanks).insert(from);
   count(now, *round);
@@ -152,7 +152,7 @@
   const bool by_majority = round.grants.size() >= round.voters.size() / 2 + 1;
   const bool by_all = round.grants.size() + round.blanks.size() >= round.voters.size();
   if (!by_majority && !by_all) return;
-  const auto until = round.requested_at + terms_.lease - terms_.margin;
+  const auto until = round.requested_at + timing_.duration - timing_.clock_margin;
   if (now >= until) return;
   if (held_term_ != claimed_term_) held_first_ = std::exchange(claimed_first_, false);
   held_term_ = claimed_term_;
@@ -172,7 +172,7 @@
   held_term_ = claimed_term_ = 0;
   held_until_ = now;
   pass_on(now, request);
-  next_request_ = now + terms_.lease;
+  next_request_ = now + timing_.duration;
   return request;
 }
 
--- a/src/system/lease/holder_lease.hpp
+++ b/src/system/lease/holder_lease.hpp
@@ -23,14 +23,14 @@
 
 namespace docklift::lease {
 
-struct Terms {
-  Duration lease = std::chrono::milliseconds(1200);
-  Duration margin = std::chrono::milliseconds(150);
-  Duration renew = std::chrono::milliseconds(250);
-  Duration hearing = std::chrono::milliseconds(
+struct Timing {
+  Duration duration = std::chrono::milliseconds(1200);
+  Duration clock_margin = std::chrono::milliseconds(150);
+  Duration renew_interval = std::chrono::milliseconds(250);
+  Duration discovery_wait = std::chrono::milliseconds(
       300);  // after a start without memory: members tell the terms that they know
-  Duration stagger = std::chrono::milliseconds(120);  // between those that may claim it, by rank
-  Duration membership_age = std::chrono::milliseconds(2000);
+  Duration claim_stagger = std::chrono::milliseconds(120);  // between those that may claim it, by rank
+  Duration max_membership_age = std::chrono::milliseconds(2000);
 };
 
 struct Voters {
@@ -41,15 +41,16 @@
   std::uint64_t term = 0;
   std::string holder, successor;
   bool release = false;
-  bool holds = false;      // granted by a majority before, and renewed now
-  std::uint64_t life = 0;  // of the holder: a restarted one has forgotten what it held, and renews nothing
+  bool holds = false;  // granted by a majority before, and renewed now
+  std::uint64_t
+      incarnation = 0;  // of the holder: a restarted one has forgotten what it held, and renews nothing
   std::uint64_t membership = 0;
   std::uint64_t round = 0;  // of the holder's choice; told back
 };
 struct Reply {
   std::uint64_t term = 0;
   bool granted = false;
-  bool blank = false;            // not granted for want of memory, but promised to nobody else
+  bool provisional = false;      // not granted for want of memory, but promised to nobody else
   std::string holder;            // to whom it is granted now, where it was refused
   std::uint64_t membership = 0;  // the grantor's
   std::uint64_t round = 0;
@@ -58,7 +59,7 @@
 class HolderLease {
  public:
   // `remembers`: false where this process may have granted it in an earlier life.
-  HolderLease(Terms terms, std::string self, std::uint64_t life, bool remembers, Time now);
+  HolderLease(Timing timing, std::string self, std::uint64_t life, bool remembers, Time now);
 
   // Who votes, and as of when that was known to be the newest set (none: not known in this life). Called
   // before each tick().
@@ -77,7 +78,7 @@
   bool holds(Time now) const { return held_term_ != 0 && now < held_until_; }
   std::uint64_t held_term() const { return held_term_; }
   // Nobody knew of an earlier holder when it was claimed.
-  bool held_first() const { return held_first_; }
+  bool is_first_holder() const { return held_first_; }
   // Who was last known to hold it, with its term: by its own word, as a claim that was granted here alone is
   // no lease.
   const std::string& holder() const { return known_holder_; }
@@ -102,7 +103,7 @@
   std::size_t majority() const { return voters_.addresses.size() / 2 + 1; }
   Request request_now() const;
 
-  Terms terms_;
+  Timing timing_;
   std::string self_;
   std::uint64_t life_;
   Voters voters_;
--- a/src/system/registry/registry.cpp
+++ b/src/system/registry/registry.cpp
@@ -30,7 +30,7 @@
       log_("registry"),
       follower_([this](const std::string& ip, fleet::Outgoing& out) { send_to_store(ip, out); },
                 [this](const std::string& note) { log_.info(note); }),
-      lease_(lease::Terms{}, settings.bind_ip, draw_life(), settings.bootstrap, clock_.now()),
+      lease_(lease::Timing{}, settings.bind_ip, draw_life(), settings.bootstrap, clock_.now()),
       counts_({settings.bounds.quota_win_s, settings.bounds.quota_excess, settings.bounds.quota_slack}),
       record_cache_(std::move(record_cache)),
       news_timer_(io.get_executor()),
@@ -222,7 +222,7 @@
        request.getHolds(), request.getLife(), request.getMembership(), request.getRound()});
   fleet::Outgoing out;
   auto to = out.frame().initLeaseReply();
-  to.setTerm(reply.term), to.setGranted(reply.granted), to.setBlank(reply.blank);
+  to.setTerm(reply.term), to.setGranted(reply.granted), to.setBlank(reply.provisional);
   to.setHolder(reply.holder), to.setMembership(reply.membership), to.setRound(reply.round);
   link.send(out.message());
   check_lease();
@@ -284,7 +284,7 @@
     auto a = frame.initLeaseRequest();
     a.setTerm(request.term), a.setHolder(request.holder), a.setSuccessor(request.successor),
         a.setRelease(request.release);
-    a.setHolds(request.holds), a.setLife(request.life);
+    a.setHolds(request.holds), a.setLife(request.incarnation);
     a.setMembership(request.membership), a.setRound(request.round);
   });
 }
@@ -294,7 +294,7 @@
   const Time now = clock_.now();
   if (lease_.holds(now) && counting_term_ != lease_.held_term()) {
     counting_term_ = lease_.held_term();
-    counts_.begin(now, lease_.held_first());
+    counts_.begin(now, lease_.is_first_holder());
     log_.info("holds the counts, term " + std::to_string(counting_term_));
   }
   if (lease_.term() == told_term_) return;
--- a/src/system/store/main.cpp
+++ b/src/system/store/main.cpp
@@ -29,9 +29,9 @@
                          value(disk).reset();
                          disk = Disk::begin_anew(folder);
                          if (failed(disk)) return log.error(failure(disk).shown()), 1;
-                         kept = agreement::Kept{};
+                         kept = agreement::DurableState{};
                        }
-                       log.info(value(kept).any
+                       log.info(value(kept).has_state
                                     ? "the disk holds change " + std::to_string(value(kept).state.position) +
                                           " and " + std::to_string(value(kept).log.size()) + " after it"
                                     : "the disk is empty");
--- a/src/system/store/store.cpp
+++ b/src/system/store/store.cpp
@@ -18,10 +18,10 @@
   agreement::Options o;
   o.self = s.bind_ip, o.zone = s.zone;
   o.seeds = s.seed_ips();
-  o.bootstrap = s.bootstrap, o.votes = s.voting;
-  o.tolerated = s.tolerate_nodes;
+  o.bootstrap = s.bootstrap, o.can_vote = s.voting;
+  o.tolerated_failures = s.tolerate_nodes;
   o.lost_voters = std::move(lost_voters);
-  o.chance = drawn();
+  o.random_seed = drawn();
   // With the time of day: no earlier disk of this machine has the same.
   o.new_disk = std::max<std::uint64_t>(mix(drawn() ^ draw_life()), configuration::kBootstrapDisk + 1);
   return o;
@@ -37,7 +37,7 @@
 }
 
 Store::Store(boost::asio::io_context& io, const SystemSettings& settings, std::unique_ptr<Disk> disk,
-             agreement::Kept kept, std::vector<std::string> lost_voters)
+             agreement::DurableState kept, std::vector<std::string> lost_voters)
     : io_(io),
       settings_(settings),
       replica_(options_of(settings, std::move(lost_voters)), std::move(kept)),
@@ -108,10 +108,10 @@
           node.setId(settings_.hostname), node.setRole(wire::Role::STORE), node.setZone(settings_.zone);
           node.setAddress(settings_.bind_ip);
           link->send(hello.message());
-          if (const auto zone = zones_.find(ip); zone != zones_.end()) replica_.linked(ip, zone->second);
+          if (const auto zone = zones_.find(ip); zone != zones_.end()) replica_.on_link_up(ip, zone->second);
         },
         [this, ip](const Failure& why) {
-          replica_.unlinked(ip);
+          replica_.on_link_down(ip);
           carry_out(receiver_.on_source_lost(clock_.now(), ip));
           log_.debug(why.shown());
         });
@@ -161,7 +161,7 @@
         zones_[ip] = node.getZone().cStr();
         dial_others();
         if (const auto d = stores_.find(ip); d != stores_.end() && d->second->up())
-          replica_.linked(ip, zones_[ip]);
+          replica_.on_link_up(ip, zones_[ip]);
       } else {
         registries_[link.get()] = {link, {}};
       }
@@ -205,10 +205,10 @@
 }
 
 // Everything that is said waits until all that was to be durable before it is.
-void Store::carry_out(agreement::Out out) {
-  for (const auto& note : out.notes) log_.info(note);
-  for (const auto& send_now : std::exchange(out.immediate, {})) send(send_now.to, send_now.envelope);
-  if (!out.chosen.empty() || out.snapshot) {
+void Store::carry_out(agreement::Actions out) {
+  for (const auto& note : out.log_lines) log_.info(note);
+  for (const auto& send_now : std::exchange(out.immediate_sends, {})) send(send_now.to, send_now.envelope);
+  if (!out.chosen.empty() || out.snapshot_installed) {
     receiver_.on_position(replica_.state().position);
     for (const auto& c : out.chosen)
       log_.info("change " + std::to_string(c.slot) + " is in force, version " +
@@ -225,7 +225,7 @@
     return release(out);
   }
   ++writes_out_;
-  const auto later = std::make_shared<agreement::Out>(std::move(out));
+  const auto later = std::make_shared<agreement::Actions>(std::move(out));
   auto written = lifetime_.bind([this, later] {
     --writes_out_;
     if (!stopped_) release(*later);
@@ -234,8 +234,8 @@
               [&io = io_, written]() mutable { boost::asio::post(io, std::move(written)); });
 }
 
-void Store::release(const agreement::Out& out) {
-  for (const auto& s : out.settled) {
+void Store::release(const agreement::Actions& out) {
+  for (const auto& s : out.completions) {
     const auto call = calls_.extract(s.id);
     const auto link = call ? call.mapped().first.lock() : nullptr;
     if (!link || !link->open()) continue;
@@ -246,7 +246,7 @@
     link->send(answer.message());
   }
   for (const auto& later : out.sends) send(later.to, later.envelope);
-  for (const auto& need : out.snapshots) offer_snapshot(need);
+  for (const auto& need : out.snapshot_requests) offer_snapshot(need);
 }
 
 void Store::send(const std::string& to, const agreement::Envelope& envelope) {
@@ -274,7 +274,7 @@
 
 // ---- snapshots between stores ----------------------------------------------------------------------
 
-void Store::offer_snapshot(const agreement::SnapshotNeed& need) {
+void Store::offer_snapshot(const agreement::SnapshotRequest& need) {
   const auto store = stores_.find(need.to);
   if (store == stores_.end() || !store->second->up()) return;
   fleet::Outgoing frame;
@@ -306,8 +306,8 @@
   if (!leaving_) log_.info("leaves");
   leaving_ = true;
   carry_out(replica_.leave(clock_.now()));
-  leave_timer_.expires_after(replica_.may_end(clock_.now()) ? kLastWords : kTick);
-  const bool ends = replica_.may_end(clock_.now());
+  leave_timer_.expires_after(replica_.may_stop(clock_.now()) ? kLastWords : kTick);
+  const bool ends = replica_.may_stop(clock_.now());
   leave_timer_.async_wait(
       lifetime_.bind([this, ends, ended = std::move(ended)](boost::system::error_code cancelled) mutable {
         if (cancelled) return;
--- a/src/system/store/store.hpp
+++ b/src/system/store/store.hpp
@@ -36,7 +36,7 @@
 class Store {
  public:
   Store(boost::asio::io_context& io, const SystemSettings& settings, std::unique_ptr<Disk> disk,
-        agreement::Kept kept, std::vector<std::string> lost_voters = {});
+        agreement::DurableState kept, std::vector<std::string> lost_voters = {});
   ~Store();
   void start();
   // The settings have changed: whom a store asks that knows no other.
@@ -54,15 +54,15 @@
   void accepted(const std::shared_ptr<Link>& link);
   void on_frame(const std::shared_ptr<Link>& link, wire::Frame::Reader frame);
   void ended(const std::shared_ptr<Link>& link);
-  void carry_out(agreement::Out out);
-  void release(const agreement::Out& out);
+  void carry_out(agreement::Actions out);
+  void release(const agreement::Actions& out);
   void send(const std::string& to, const agreement::Envelope& envelope);
   void dial_others();
   void drop_unreachable(const std::set<std::string>& needed);
   void on_disk_lost(const Failure& why);
   void tick();
   void bring_up_to_date(Registry& r);
-  void offer_snapshot(const agreement::SnapshotNeed& need);
+  void offer_snapshot(const agreement::SnapshotRequest& need);
   void on_snapshot_part(const std::string& from, wire::SnapshotPart::Reader frame);
   void carry_out(const transfer::SnapshotReceiver::Step& step);
 
--- a/tests/system/agreement_test.cpp
+++ b/tests/system/agreement_test.cpp
@@ -73,29 +73,29 @@
   core.run(1s);
   const auto base = core.state(2).position;
   core.cut(0, 2), core.cut(1, 2);
-  const auto held = core.propose(2, ChangeKind::evacuate, zone_order("z", base));
+  const auto held = core.propose(2, ChangeKind::evacuate, zone_command("z", base));
   // The operator hears nothing and sends it again elsewhere; later the evacuation is ended.
-  BOOST_TEST(core.settled(core.propose(0, ChangeKind::evacuate, zone_order("z", base))) == 200);
-  BOOST_TEST(core.settled(core.propose(1, ChangeKind::readmit, zone_order("z", core.state(1).position))) ==
+  BOOST_TEST(core.settled(core.propose(0, ChangeKind::evacuate, zone_command("z", base))) == 200);
+  BOOST_TEST(core.settled(core.propose(1, ChangeKind::readmit, zone_command("z", core.state(1).position))) ==
              200);
   core.heal();
   BOOST_TEST(core.settled(held) == 503);
   core.run(6s);
   for (std::size_t i = 0; i < 3; ++i) BOOST_TEST(core.state(i).evacuated.empty());
   // Asked anew it is taken.
-  BOOST_TEST(core.settled(core.propose(2, ChangeKind::evacuate, zone_order("z", core.state(2).position))) ==
+  BOOST_TEST(core.settled(core.propose(2, ChangeKind::evacuate, zone_command("z", core.state(2).position))) ==
              200);
 }
 
 BOOST_AUTO_TEST_CASE(
     given_a_store_that_is_behind_when_a_wish_holds_there_that_was_taken_back_then_it_is_not_acknowledged) {
   CoreFleet core(kTwoZones, 12);
-  BOOST_TEST(core.settled(core.propose(0, ChangeKind::evacuate, zone_order("z", 0))) == 200);
+  BOOST_TEST(core.settled(core.propose(0, ChangeKind::evacuate, zone_command("z", 0))) == 200);
   core.run(1s);
   const auto base = core.state(2).position;
   core.cut(0, 2), core.cut(1, 2);
-  BOOST_TEST(core.settled(core.propose(0, ChangeKind::readmit, zone_order("z", base))) == 200);
-  const auto behind = core.propose(2, ChangeKind::evacuate, zone_order("z", base));
+  BOOST_TEST(core.settled(core.propose(0, ChangeKind::readmit, zone_command("z", base))) == 200);
+  const auto behind = core.propose(2, ChangeKind::evacuate, zone_command("z", base));
   core.run(500ms);
   BOOST_TEST(core.answers[behind].status == 0);  // evacuated as far as this store knows
   core.heal();
@@ -107,7 +107,7 @@
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CoreFleet core(kTwoZones, seed);
     BOOST_TEST(core.put(seed % 3, 5, 0) == 200);
-    BOOST_TEST(core.settled(core.propose(0, ChangeKind::evacuate, zone_order("a", 1))) == 200);
+    BOOST_TEST(core.settled(core.propose(0, ChangeKind::evacuate, zone_command("a", 1))) == 200);
     for (std::size_t i = 0; i < 3; ++i) core.lose_power(i);
     core.run(1s);
     for (std::size_t i = 0; i < 3; ++i) core.start(i);
@@ -197,9 +197,9 @@
   core.run(2s);
   BOOST_TEST(!core.votes(fresh));
   core.leave(0);
-  BOOST_TEST(!core.members[0].replica->may_end(core.now));
+  BOOST_TEST(!core.members[0].replica->may_stop(core.now));
   BOOST_TEST(
-      core.run_until([&] { return core.votes(fresh) && core.members[0].replica->may_end(core.now); }, 1s));
+      core.run_until([&] { return core.votes(fresh) && core.members[0].replica->may_stop(core.now); }, 1s));
   BOOST_TEST(!core.votes(0));
   core.lose_disk(0);
   core.kill(1);
@@ -212,7 +212,7 @@
   CoreFleet core(kTwoZones, 12);
   core.run(1s);
   core.leave(1);
-  BOOST_TEST(core.members[1].replica->may_end(core.now));
+  BOOST_TEST(core.members[1].replica->may_stop(core.now));
   BOOST_TEST(core.votes(1));
 }
 
@@ -478,18 +478,18 @@
 
 // A peer that stood still may answer the question of an earlier life when the next one asks, with what it held between.
 BOOST_AUTO_TEST_CASE(given_a_store_that_starts_again_when_it_asks_then_no_answer_to_its_former_life_counts) {
-  docklift::agreement::Kept kept;
-  kept.any = true;
+  docklift::agreement::DurableState kept;
+  kept.has_state = true;
   kept.disk = 1;
   kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   const auto rounds_of = [&](std::uint64_t chance) {
     docklift::agreement::Options options;
-    options.self = "10.0.0.3", options.zone = "b", options.chance = chance;
+    options.self = "10.0.0.3", options.zone = "b", options.random_seed = chance;
     Replica store(options, kept);
     store.start(Time{1h});
     std::set<std::uint64_t> rounds;
     for (auto now = Time{1h}; now < Time{1h} + 5s; now += 50ms)
-      for (const auto& send : store.tick(now).immediate)
+      for (const auto& send : store.tick(now).immediate_sends)
         if (const auto* asked = std::get_if<docklift::agreement::StatusRequest>(&send.envelope.message))
           rounds.insert(asked->round);
     return rounds;
@@ -503,8 +503,8 @@
 // change itself the survivor could never go on.
 BOOST_AUTO_TEST_CASE(
     given_an_accepted_change_when_another_store_stands_behind_it_then_it_is_known_as_decided) {
-  docklift::agreement::Kept kept;
-  kept.any = true;
+  docklift::agreement::DurableState kept;
+  kept.has_state = true;
   kept.disk = 1;
   kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   const docklift::configuration::MembershipChange next{0,
@@ -533,17 +533,17 @@
     given_successors_in_sight_before_a_silence_when_voters_are_lost_then_they_are_watched_anew) {
   namespace agreement = docklift::agreement;
   constexpr std::uint64_t kSuccessorDisk = 9;
-  agreement::Kept kept;
-  kept.any = true;
+  agreement::DurableState kept;
+  kept.has_state = true;
   kept.disk = 1;
   kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   agreement::Options options;
   options.self = "10.0.0.3", options.zone = "b";
   Replica store(options, kept);
   Time now{1h};
-  store.linked("10.0.0.1", "a"), store.linked("10.0.0.2", "a");
+  store.on_link_up("10.0.0.1", "a"), store.on_link_up("10.0.0.2", "a");
   std::deque<agreement::Envelope> own;
-  const auto keep_own = [&](const agreement::Out& out) {
+  const auto keep_own = [&](const agreement::Actions& out) {
     for (const auto& send : out.sends)
       if (send.to == options.self) own.push_back(send.envelope);
   };
@@ -599,8 +599,8 @@
 
 BOOST_AUTO_TEST_CASE(given_a_proposer_when_it_asks_with_a_ballot_then_its_own_promise_is_durable_first) {
   // Else one that loses its power and comes back could offer another change under the same ballot.
-  docklift::agreement::Kept kept;
-  kept.any = true;
+  docklift::agreement::DurableState kept;
+  kept.has_state = true;
   kept.disk = 1;
   kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   docklift::agreement::Options options;
--- a/tests/system/control_fleet.cpp
+++ b/tests/system/control_fleet.cpp
@@ -107,7 +107,7 @@
 
 void SimulatedDisk::wipe() { *this = SimulatedDisk(kind_); }
 
-Result<agreement::Kept> SimulatedDisk::open(std::mt19937_64& random) {
+Result<agreement::DurableState> SimulatedDisk::open(std::mt19937_64& random) {
   if (files_) return files_->open(random);
   for (const auto& write : written_) apply(write);
   written_.clear();
@@ -123,11 +123,11 @@
   kept_.destroyed.insert(kept_.destroyed.end(), write.destroyed.begin(), write.destroyed.end());
   if (write.state) {
     kept_.state = *write.state;
-    kept_.any = true;
+    kept_.has_state = true;
   }
   if (write.promised) kept_.promised = *write.promised;
-  std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= write.forget_accepted; });
-  std::erase_if(log_, [&](const auto& entry) { return entry.first <= write.forget_log; });
+  std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= write.trim_accepted_through; });
+  std::erase_if(log_, [&](const auto& entry) { return entry.first <= write.trim_log_through; });
   for (const auto& [slot, change] : write.accepted) accepted_[slot] = change;
   for (const auto& entry : write.log) log_[entry.slot] = entry;
 }
@@ -256,8 +256,8 @@
   options.zone = member.zone;
   options.bootstrap = bootstrap;
   options.seeds = member.seeds;
-  options.tolerated = options_.tolerated;
-  options.chance = random_();
+  options.tolerated_failures = options_.tolerated;
+  options.random_seed = random_();
   options.new_disk = std::max<std::uint64_t>(random_(), configuration::kBootstrapDisk + 1);
   if (on_options) on_options(index, options);
   auto kept = read_disk(index);
@@ -272,7 +272,7 @@
 }
 
 // A disk that lacks something counts as lost, as the store takes it; no play asks for that.
-agreement::Kept ControlFleet::read_disk(MemberIndex index) {
+agreement::DurableState ControlFleet::read_disk(MemberIndex index) {
   auto& member = members_[index];
   auto kept = member.disk.open(random_);
   if (!failed(kept)) return std::move(value(kept));
@@ -337,7 +337,7 @@
 void ControlFleet::watch_leave(MemberIndex index, std::uint64_t life) {
   at_member(index, life, [this, index, life] {
     carry_out(index, members_[index].replica->leave(now_));
-    const bool ends = members_[index].replica->may_end(now_);
+    const bool ends = members_[index].replica->may_stop(now_);
     later(ends ? kLastWords : kTick, [this, index, life, ends] {
       if (!members_[index].replica || members_[index].life != life) return;
       if (ends) return at_member(index, life, [this, index] { remove(index); });
@@ -361,7 +361,7 @@
   return true;
 }
 
-void ControlFleet::note_log(MemberIndex index, const agreement::Out& out) {
+void ControlFleet::note_log(MemberIndex index, const agreement::Actions& out) {
   for (const auto& entry : out.chosen) {
     const auto [known, is_first] = log_.try_emplace(entry.slot, entry.change);
     if (is_first)
@@ -375,11 +375,11 @@
   }
 }
 
-void ControlFleet::carry_out(MemberIndex index, agreement::Out out) {
+void ControlFleet::carry_out(MemberIndex index, agreement::Actions out) {
   auto& member = members_[index];
   note_log(index, out);
-  for (const auto& note : out.notes) trace(member.address + ": " + note);
-  for (const auto& now_sent : std::exchange(out.immediate, {})) send(index, now_sent);
+  for (const auto& note : out.log_lines) trace(member.address + ": " + note);
+  for (const auto& now_sent : std::exchange(out.immediate_sends, {})) send(index, now_sent);
   for (const auto& voter : member.replica->state().voters) member.known.insert(voter.address);
   const bool waits = out.write.durable || member.writes_out > 0;
   if (out.write.empty() && !waits) return release(index, std::move(out));
@@ -419,15 +419,15 @@
   });
 }
 
-void ControlFleet::release(MemberIndex index, agreement::Out out) {
+void ControlFleet::release(MemberIndex index, agreement::Actions out) {
   const auto life = members_[index].life;
-  for (const auto& settled : out.settled) {
+  for (const auto& settled : out.completions) {
     const auto call = calls_.extract(settled.id);
     if (call) call.mapped()(settled.status, members_[index].replica->state());
     if (members_[index].life != life) return;  // the answer brought a fault about
   }
   for (const auto& later_sent : out.sends) send(index, later_sent);
-  for (const auto& need : out.snapshots) send_snapshot(index, need);
+  for (const auto& need : out.snapshot_requests) send_snapshot(index, need);
 }
 
 // ---- network -------------------------------------------------------------------------------------
@@ -446,7 +446,7 @@
 }
 
 // Whole; how it goes in parts is transfer_test's.
-void ControlFleet::send_snapshot(MemberIndex from, const agreement::SnapshotNeed& need) {
+void ControlFleet::send_snapshot(MemberIndex from, const agreement::SnapshotRequest& need) {
   const auto to = index_of(need.to);
   if (!to || *to == from) return;
   Packet packet;
@@ -579,9 +579,9 @@
     at_member(at, members_[at].life, [this, at, of, linked] {
       auto& replica = *members_[at].replica;
       if (linked) {
-        replica.linked(members_[of].address, members_[of].zone);
+        replica.on_link_up(members_[of].address, members_[of].zone);
       } else {
-        replica.unlinked(members_[of].address);
+        replica.on_link_down(members_[of].address);
       }
     });
   };
--- a/tests/system/control_fleet.hpp
+++ b/tests/system/control_fleet.hpp
@@ -53,7 +53,7 @@
   void lose_power(std::mt19937_64& random);
   void wipe();
   // A failure: it lacks something that it had made durable.
-  Result<agreement::Kept> open(std::mt19937_64& random);
+  Result<agreement::DurableState> open(std::mt19937_64& random);
 
  private:
   std::size_t draw_handed_over(std::mt19937_64& random) const;
@@ -64,7 +64,7 @@
   std::unique_ptr<StoreFiles> files_;      // none: the records below are what it holds
   std::deque<Submitted> submitted_;        // not yet in the file
   std::vector<agreement::Write> written_;  // in the file, not durable
-  agreement::Kept kept_;
+  agreement::DurableState kept_;
   std::map<std::uint64_t, agreement::AcceptedChange> accepted_;
   std::map<std::uint64_t, agreement::LogEntry> log_;
 };
@@ -102,7 +102,7 @@
     bool removed = false;  // for good
     bool leaving = false;
     std::size_t writes_out = 0;               // writes whose completion is waited for
-    std::deque<agreement::Out> releases;      // what waits for them, in their order
+    std::deque<agreement::Actions> releases;  // what waits for them, in their order
     std::vector<std::function<void()>> held;  // inputs that came while it was frozen
     std::set<std::string> known;              // addresses that it dials
     std::vector<std::string> seeds;           // of its settings
@@ -163,7 +163,7 @@
   // For planted faults; each may be empty.
   std::function<void(Packet&)> on_packet;
   std::function<void(MemberIndex, agreement::Write&)> on_write;
-  std::function<void(MemberIndex, agreement::Kept&)> on_read_disk;
+  std::function<void(MemberIndex, agreement::DurableState&)> on_read_disk;
   std::function<void(MemberIndex, agreement::Options&)> on_options;
   std::function<void(MemberIndex, configuration::ChangeKind, const std::string&)> on_proposal;
   // Lines of what happens; for the trace of one seed.
@@ -186,14 +186,14 @@
   void at_member(MemberIndex member, std::uint64_t life, std::function<void()> input);
   void end(MemberIndex member);
   void boot(MemberIndex member, bool bootstrap);
-  agreement::Kept read_disk(MemberIndex member);
+  agreement::DurableState read_disk(MemberIndex member);
   void tick(MemberIndex member, std::uint64_t life);
-  void carry_out(MemberIndex member, agreement::Out out);
-  void release(MemberIndex member, agreement::Out out);
-  void note_log(MemberIndex member, const agreement::Out& out);
+  void carry_out(MemberIndex member, agreement::Actions out);
+  void release(MemberIndex member, agreement::Actions out);
+  void note_log(MemberIndex member, const agreement::Actions& out);
   void work_disk(MemberIndex member);
   void send(MemberIndex from, const agreement::Send& send);
-  void send_snapshot(MemberIndex from, const agreement::SnapshotNeed& need);
+  void send_snapshot(MemberIndex from, const agreement::SnapshotRequest& need);
   void transmit_to_peer(const Packet& packet, std::uint64_t life);
   void transmit(const Packet& packet, std::uint64_t from_life, Duration delay, Time waits_until);
   void update_links();
--- a/tests/system/core_fleet.hpp
+++ b/tests/system/core_fleet.hpp
@@ -33,7 +33,7 @@
 }
 
 // An order as a registry makes it that knows of the changes up to `base`.
-inline std::string zone_order(const std::string& zone, std::uint64_t base) {
+inline std::string zone_command(const std::string& zone, std::uint64_t base) {
   return configuration::encode(configuration::EvacuationOrder{zone, base});
 }
 
@@ -57,7 +57,7 @@
   void kill() { sync(); }  // files are left as they were
   void wipe() { kept_ = {}, accepted_.clear(), log_.clear(), pending_.clear(); }
   void lie() { lies_ = true; }  // a planted fault: syncs do nothing
-  agreement::Kept read() const {
+  agreement::DurableState read() const {
     auto k = kept_;
     k.accepted.assign(accepted_.begin(), accepted_.end());
     for (const auto& [slot, c] : log_) k.log.push_back(c);
@@ -69,14 +69,14 @@
     if (w.disk) kept_.disk = *w.disk;
     kept_.zones.insert(kept_.zones.end(), w.zones.begin(), w.zones.end());
     kept_.destroyed.insert(kept_.destroyed.end(), w.destroyed.begin(), w.destroyed.end());
-    if (w.state) kept_.state = *w.state, kept_.any = true;
+    if (w.state) kept_.state = *w.state, kept_.has_state = true;
     if (w.promised) kept_.promised = *w.promised;
-    std::erase_if(accepted_, [&](const auto& a) { return a.first <= w.forget_accepted; });
-    std::erase_if(log_, [&](const auto& a) { return a.first <= w.forget_log; });
+    std::erase_if(accepted_, [&](const auto& a) { return a.first <= w.trim_accepted_through; });
+    std::erase_if(log_, [&](const auto& a) { return a.first <= w.trim_log_through; });
     for (const auto& [slot, a] : w.accepted) accepted_[slot] = a;
     for (const auto& c : w.log) log_[c.slot] = c;
   }
-  agreement::Kept kept_;
+  agreement::DurableState kept_;
   std::map<std::uint64_t, agreement::AcceptedChange> accepted_;
   std::map<std::uint64_t, LogEntry> log_;
   std::vector<agreement::Write> pending_;
@@ -194,9 +194,9 @@
 
   void up(Member& m, bool bootstrap) {
     agreement::Options o;
-    o.self = m.ip, o.zone = m.zone, o.bootstrap = bootstrap, o.chance = random();
+    o.self = m.ip, o.zone = m.zone, o.bootstrap = bootstrap, o.random_seed = random();
     o.new_disk = 100 + ++disks_;
-    o.tolerated = tolerated;
+    o.tolerated_failures = tolerated;
     o.lost_voters = m.lost_voters;
     for (std::size_t i = 0; i < std::min<std::size_t>(3, members.size()); ++i)
       o.seeds.push_back(members[i].ip);
@@ -210,9 +210,9 @@
       for (std::size_t b = 0; b < members.size(); ++b) {
         if (a == b || !members[a].replica) continue;
         if (members[b].replica && reaches(a, b)) {
-          members[a].replica->linked(members[b].ip, members[b].zone);
+          members[a].replica->on_link_up(members[b].ip, members[b].zone);
         } else {
-          members[a].replica->unlinked(members[b].ip);
+          members[a].replica->on_link_down(members[b].ip);
         }
       }
   }
@@ -225,19 +225,19 @@
       tick(at, life);
     });
   }
-  void carry_out(Member& m, agreement::Out out) {
+  void carry_out(Member& m, agreement::Actions out) {
     if (!out.write.empty()) m.disk.write(out.write);
-    out.sends.insert(out.sends.begin(), out.immediate.begin(), out.immediate.end());
+    out.sends.insert(out.sends.begin(), out.immediate_sends.begin(), out.immediate_sends.end());
     for (const auto& c : out.chosen) {
       const auto text = std::to_string(static_cast<int>(c.change.kind)) + c.change.text;
       const auto [it, fresh] = history.try_emplace(c.slot, text);
       if (!fresh && it->second != text)
         wrongs.push_back("place " + std::to_string(c.slot) + " holds two changes");
     }
-    for (const auto& s : out.settled) answers[s.id] = {s.status, s.why};
+    for (const auto& s : out.completions) answers[s.id] = {s.status, s.why};
     const auto from = index(m.ip);
     const auto life = m.life;
-    for (const auto& need : out.snapshots) send_snapshot(from, index(need.to), m.replica->state());
+    for (const auto& need : out.snapshot_requests) send_snapshot(from, index(need.to), m.replica->state());
     for (auto& s : out.sends) {
       const auto to = index(s.to);
       if (to >= members.size()) continue;
--- a/tests/system/disk_power_test.cpp
+++ b/tests/system/disk_power_test.cpp
@@ -11,7 +11,7 @@
 namespace docklift::test {
 namespace {
 
-using agreement::Kept;
+using agreement::DurableState;
 using agreement::Write;
 using configuration::ChangeKind;
 
@@ -38,7 +38,7 @@
     write.state.emplace();
     write.state->position = number;
     write.state->voters = {{"10.0.0.1", 77}};
-    write.forget_log = number;
+    write.trim_log_through = number;
   } else {
     write.log.push_back({number, {ChangeKind::nothing, text_of(number, random), "10.0.0.1", number}});
   }
@@ -46,7 +46,7 @@
 }
 
 // The last write that the disk holds, with all before it; none, with a reason, where something is missing.
-std::optional<std::uint64_t> last_write_of(const Kept& kept, std::string& why) {
+std::optional<std::uint64_t> last_write_of(const DurableState& kept, std::string& why) {
   const auto last = kept.promised.round;
   std::uint64_t position = kept.state.position;
   for (const auto& entry : kept.log) {
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -193,12 +193,12 @@
 BOOST_AUTO_TEST_CASE(given_a_zone_order_when_a_later_one_has_taken_effect_then_only_its_wish_is_compared) {
   State s;
   using configuration::ChangeKind;
-  BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_order("z", 0)));
-  BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::evacuate, zone_order("z", 0)).in_force);
-  BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::readmit, zone_order("z", 0)).status == 503);
-  BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, zone_order("z", 0)));
-  BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_order("y", 0)));  // each zone by itself
-  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 2)));
+  BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_command("z", 0)));
+  BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::evacuate, zone_command("z", 0)).in_force);
+  BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::readmit, zone_command("z", 0)).status == 503);
+  BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, zone_command("z", 0)));
+  BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_command("y", 0)));  // each zone by itself
+  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_command("z", 2)));
   BOOST_TEST(s.zone_changes.at("z") == 4u);
   for (const auto* text : {"", "z", "1 ", "x z", "-1 z"})
     BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::evacuate, text).status == 400, text);
@@ -209,17 +209,17 @@
     given_an_order_whose_wish_holds_when_it_is_agreed_then_opposite_ones_from_before_have_no_effect) {
   State s;
   using configuration::ChangeKind;
-  configuration::apply(s, ChangeKind::evacuate, zone_order("z", 0));
-  const auto given_up = zone_order("z", 1);  // to readmit; held up
+  configuration::apply(s, ChangeKind::evacuate, zone_command("z", 0));
+  const auto given_up = zone_command("z", 1);  // to readmit; held up
   BOOST_TEST(
-      configuration::apply(s, ChangeKind::evacuate, zone_order("z", 1)));  // acknowledged: z is evacuated
+      configuration::apply(s, ChangeKind::evacuate, zone_command("z", 1)));  // acknowledged: z is evacuated
   BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::readmit, given_up).status == 503);
   BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, given_up));
   BOOST_TEST(s.evacuated == std::vector<std::string>{"z"}, boost::test_tools::per_element());
-  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 3)));  // a newer one has
+  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_command("z", 3)));  // a newer one has
   BOOST_TEST(s.evacuated.empty());
-  const auto given_up_too = zone_order("z", 4);  // to evacuate
-  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 4)));
+  const auto given_up_too = zone_command("z", 4);  // to evacuate
+  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_command("z", 4)));
   BOOST_TEST(!configuration::apply(s, ChangeKind::evacuate, given_up_too));
 }
 
@@ -332,7 +332,8 @@
     return to.take(out.frame().asReader().getChanges());
   };
   const fleet::Entry one{1, wire::Change::REPLACE, config_body(1, 0)},
-      two{2, wire::Change::EVACUATE, zone_order("z", 1)}, three{3, wire::Change::READMIT, zone_order("z", 2)};
+      two{2, wire::Change::EVACUATE, zone_command("z", 1)},
+      three{3, wire::Change::READMIT, zone_command("z", 2)};
   BOOST_TEST((feed(source, {one, two}) == fleet::ChangeLog::News::taken));
   BOOST_TEST((feed(follower, {two}) == fleet::ChangeLog::News::gap));
   BOOST_TEST((feed(follower, {one, three}) == fleet::ChangeLog::News::gap));
@@ -365,7 +366,7 @@
   BOOST_TEST(!digests.contradicts(other.position, other.log_digest));
   configuration::apply(one, ChangeKind::nothing, "");
   digests.note(one.position, one.log_digest);
-  configuration::apply(other, ChangeKind::evacuate, zone_order("z", 1));
+  configuration::apply(other, ChangeKind::evacuate, zone_command("z", 1));
   BOOST_TEST(digests.contradicts(other.position, other.log_digest));
   same(ChangeKind::replace, config_body(2, 1));
   BOOST_TEST(digests.contradicts(other.position, other.log_digest));
@@ -437,7 +438,7 @@
   {
     auto disk = Disk::open(f.path + "/d");
     BOOST_REQUIRE(!failed(disk));
-    BOOST_TEST(!std::get<agreement::Kept>(value(disk)->read()).any);
+    BOOST_TEST(!std::get<agreement::DurableState>(value(disk)->read()).has_state);
     agreement::Write w;
     w.state = State{4, nlohmann::json::parse(config_body(1, 0)), {"z"}, {{"10.0.0.1", 1}}, 2, {}, {{"z", 3}}};
     w.state->history.record(1, {7, 70});
@@ -455,7 +456,7 @@
   auto kept = value(disk)->read();
   BOOST_REQUIRE(!failed(kept));
   const auto& k = value(kept);
-  BOOST_TEST(k.any);
+  BOOST_TEST(k.has_state);
   BOOST_TEST(k.state.position == 4u);
   BOOST_TEST(k.state.version() == 1u);
   BOOST_TEST(k.disk == 77u);
@@ -474,7 +475,7 @@
   BOOST_REQUIRE(k.log.size() == 1);
   BOOST_TEST(k.log[0].slot == 5u);
   agreement::Write forget;
-  forget.forget_accepted = 6, forget.forget_log = 5;
+  forget.trim_accepted_through = 6, forget.trim_log_through = 5;
   BOOST_TEST(!failed(value(disk)->write(forget)));
   auto after = value(disk)->read();
   BOOST_TEST(value(after).accepted.empty());
@@ -497,7 +498,7 @@
   auto kept = value(disk)->read();
   BOOST_REQUIRE(!failed(kept));
   // Either all of it is there again, or nothing is and the store counts as one without its disk.
-  BOOST_TEST((value(kept).any ? value(kept).state.position == 4u : value(kept).state.position == 0u));
+  BOOST_TEST((value(kept).has_state ? value(kept).state.position == 4u : value(kept).state.position == 0u));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/path_test.cpp
+++ b/tests/system/path_test.cpp
@@ -154,7 +154,7 @@
   auto& registry = *f.registries[0];
   int status = 0;
   registry.propose(
-      ChangeKind::evacuate, zone_order("z1", registry.changes().position()),
+      ChangeKind::evacuate, zone_command("z1", registry.changes().position()),
       [&](int answered, const std::string&, std::uint64_t) { status = answered; },
       std::make_shared<const bool>(true));
   BOOST_TEST(f.until([&] { return status != 0; }));
--- a/tests/system/planted_faults_test.cpp
+++ b/tests/system/planted_faults_test.cpp
@@ -71,16 +71,16 @@
 
 BOOST_AUTO_TEST_CASE(given_a_history_of_bodies_that_is_forgotten_at_a_start_then_the_plays_find_it) {
   const auto options = options_with({Fault::kill_all, Fault::kill}, [](ControlFleet& fleet) {
-    fleet.on_read_disk = [](MemberIndex, agreement::Kept& kept) { kept.state.history = {}; };
+    fleet.on_read_disk = [](MemberIndex, agreement::DurableState& kept) { kept.state.history = {}; };
   });
   BOOST_TEST(finding_seeds(options) == kFindingSeeds);
 }
 
 BOOST_AUTO_TEST_CASE(given_disks_that_return_an_older_snapshot_when_all_start_then_the_plays_find_it) {
   const auto options = options_with({Fault::kill_all, Fault::power_loss_all}, [](ControlFleet& fleet) {
-    const auto first = std::make_shared<std::map<MemberIndex, agreement::Kept>>();
-    fleet.on_read_disk = [first](MemberIndex member, agreement::Kept& kept) {
-      if (!kept.any) return;
+    const auto first = std::make_shared<std::map<MemberIndex, agreement::DurableState>>();
+    fleet.on_read_disk = [first](MemberIndex member, agreement::DurableState& kept) {
+      if (!kept.has_state) return;
       const auto [older, is_first] = first->try_emplace(member, kept);
       if (!is_first) kept = older->second;
     };
@@ -92,7 +92,7 @@
   const auto options = options_with(
       {Fault::kill, Fault::kill_all, Fault::cut_one_way, Fault::cut_pair, Fault::link_reset},
       [](ControlFleet& fleet) {
-        fleet.on_read_disk = [](MemberIndex, agreement::Kept& kept) {
+        fleet.on_read_disk = [](MemberIndex, agreement::DurableState& kept) {
           kept.promised = {};
           kept.accepted.clear();
         };
--- a/tests/system/shares_test.cpp
+++ b/tests/system/shares_test.cpp
@@ -78,7 +78,7 @@
     for (std::size_t i = 0; i < n; ++i) {
       ips.push_back(std::to_string(i));
       leases.push_back(
-          std::make_unique<lease::HolderLease>(lease::Terms{}, ips.back(), ++lives, remembers, now));
+          std::make_unique<lease::HolderLease>(lease::Timing{}, ips.back(), ++lives, remembers, now));
     }
     cut.assign(n, false);
     voters.assign(n, {1, ips});
@@ -202,7 +202,7 @@
   f.run(4s);
   BOOST_REQUIRE(f.holders().size() == 1);
   BOOST_TEST(f.leases[f.holders()[0]]->held_term() > 4100u);
-  BOOST_TEST(!f.leases[f.holders()[0]]->held_first());
+  BOOST_TEST(!f.leases[f.holders()[0]]->is_first_holder());
   f.leases[f.holders()[0]]->observe_term(9000);
   f.run(4s);
   BOOST_REQUIRE(f.holders().size() == 1);
@@ -222,7 +222,7 @@
     BOOST_TEST(f.leases[f.holders()[0]]->held_term() == term,
                "seed " << seed);  // it renews while they are silent
     BOOST_TEST(f.most_holders == 1u, "seed " << seed);
-    BOOST_TEST(f.leases[f.holders()[0]]->held_first());
+    BOOST_TEST(f.leases[f.holders()[0]]->is_first_holder());
   }
 }
 
@@ -246,7 +246,8 @@
     f.cut[first] = true;
     for (std::size_t i = 0; i < 3; ++i)
       if (i != first)
-        f.leases[i] = std::make_unique<lease::HolderLease>(lease::Terms{}, f.ips[i], ++f.lives, false, f.now);
+        f.leases[i] = std::make_unique<lease::HolderLease>(lease::Timing{}, f.ips[i], ++f.lives, false,
+                                                           f.now);
     f.run(4s);
     BOOST_TEST(f.most_holders == 1u, "seed " << seed);
     BOOST_TEST(f.holders().size() == 1u, "seed " << seed);
@@ -262,7 +263,7 @@
     const auto term = f.leases[first]->held_term();
     f.leases[first].reset();
     f.run(300ms);
-    f.leases[first] = std::make_unique<lease::HolderLease>(lease::Terms{}, f.ips[first], ++f.lives, false,
+    f.leases[first] = std::make_unique<lease::HolderLease>(lease::Timing{}, f.ips[first], ++f.lives, false,
                                                            f.now);
     f.run(3s);
     BOOST_REQUIRE_MESSAGE(f.holders().size() == 1, "seed " << seed);
@@ -278,7 +279,7 @@
   for (auto& d : f.leases) d->observe_term(4100);
   f.run(900ms);
   BOOST_REQUIRE(f.holders().size() == 1);
-  BOOST_TEST(!f.leases[f.holders()[0]]->held_first());
+  BOOST_TEST(!f.leases[f.holders()[0]]->is_first_holder());
 }
 
 BOOST_AUTO_TEST_CASE(
@@ -286,15 +287,15 @@
   lease::HolderLease d({}, "a", 1, false, Time{1h});
   d.observe_voters(Time{1h}, {0, {"a", "b", "c"}}, Time{1h});
   const auto b = d.on_request(Time{1h} + 1s, {1, "b", "", false, false, 1});
-  BOOST_TEST((!b.granted && b.blank));
+  BOOST_TEST((!b.granted && b.provisional));
   const auto c = d.on_request(Time{1h} + 1100ms, {2, "c", "", false, false, 1});
-  BOOST_TEST((!c.granted && !c.blank));  // it is promised to one at a time
+  BOOST_TEST((!c.granted && !c.provisional));  // it is promised to one at a time
   BOOST_TEST(d.on_request(Time{1h} + 1300ms, {3, "b", "", false, false, 1}).granted);
 }
 
 // Grants of one voter, by hand.
 struct Claimant {
-  Claimant(Time now, std::vector<std::string> addresses) : lease(lease::Terms{}, "a", 1, true, now) {
+  Claimant(Time now, std::vector<std::string> addresses) : lease(lease::Timing{}, "a", 1, true, now) {
     lease.observe_voters(now, {1, std::move(addresses)}, now);
   }
   lease::Request claim(Time now, const std::vector<std::string>& linked) {
@@ -320,15 +321,15 @@
 
 BOOST_AUTO_TEST_CASE(given_a_reply_that_was_late_when_a_newer_round_is_out_then_it_counts_from_its_own) {
   const Time now{1h};
-  const lease::Terms terms;
+  const lease::Timing timing;
   Claimant a(now, {"a", "b", "c"});
   const auto first = a.claim(now, {"a", "b", "c"});
   a.lease.on_reply(now + 10ms, "b", Claimant::granted(first));
-  const auto second = a.claim(now + terms.renew, {"a", "b", "c"});
-  const auto third = a.claim(now + 2 * terms.renew, {"a", "b", "c"});  // lost, as those after it
+  const auto second = a.claim(now + timing.renew_interval, {"a", "b", "c"});
+  const auto third = a.claim(now + 2 * timing.renew_interval, {"a", "b", "c"});  // lost, as those after it
   BOOST_TEST(third.term == first.term);
-  a.lease.on_reply(now + 3 * terms.renew, "c", Claimant::granted(second));
-  const Time until = now + terms.renew + terms.lease - terms.margin;
+  a.lease.on_reply(now + 3 * timing.renew_interval, "c", Claimant::granted(second));
+  const Time until = now + timing.renew_interval + timing.duration - timing.clock_margin;
   BOOST_TEST(a.lease.holds(until - 1ms));
   BOOST_TEST(!a.lease.holds(until));  // when c's promise ends
 }
--- a/tests/system/store_files.cpp
+++ b/tests/system/store_files.cpp
@@ -18,14 +18,14 @@
     : durable_(files_, [this](const std::string& folder) { return files_.sync_folder(folder); }),
       env_(syncs_folders ? static_cast<leveldb::Env&>(durable_) : files_) {}
 
-Result<agreement::Kept> StoreFiles::open_once() {
+Result<agreement::DurableState> StoreFiles::open_once() {
   auto opened = Disk::open("/disk", env_);
   if (failed(opened)) return failure(opened);
   disk_ = std::move(value(opened));
   return disk_->read();
 }
 
-Result<agreement::Kept> StoreFiles::open(std::mt19937_64& random) {
+Result<agreement::DurableState> StoreFiles::open(std::mt19937_64& random) {
   if (random() % kLossAtAStart == 0) {
     files_.lose_power_at(1 + random() % kOperationsOfAStart, random(), nothing_to_note);
     if (auto kept = open_once(); failed(kept)) return kept;
--- a/tests/system/store_files.hpp
+++ b/tests/system/store_files.hpp
@@ -18,7 +18,7 @@
 
   // Power may be lost during this start, or the disk refuse something, and it is made once more. A failure: the disk could not be read, or lacks
   // something, and would be set aside.
-  Result<agreement::Kept> open(std::mt19937_64& random);
+  Result<agreement::DurableState> open(std::mt19937_64& random);
   // Durable when it returns. The disk must be open and refuses nothing.
   void write(const agreement::Write& write);
   // The process ends; what was written stays.
@@ -28,7 +28,7 @@
   void lose_power(std::mt19937_64& random);
 
  private:
-  Result<agreement::Kept> open_once();
+  Result<agreement::DurableState> open_once();
   void open_while_refusing(std::mt19937_64& random);
 
   SimulatedFiles files_;
--- a/tests/system/transfer_test.cpp
+++ b/tests/system/transfer_test.cpp
@@ -374,7 +374,7 @@
   net.link(1);
   net.run(1s);
   BOOST_TEST(net.follower.changes().state().version() == 2u);  // no place beyond its own yet
-  net.change_at(1, wire::Change::EVACUATE, zone_order("z", 2));
+  net.change_at(1, wire::Change::EVACUATE, zone_command("z", 2));
   net.run(1s);
   BOOST_TEST(net.follower.changes().state().version() == 3u);
   BOOST_TEST(bytes_of_state(net.follower.changes()) == bytes_of_state(net.sources[1].log));
