--- a/src/system/agreement/membership.hpp
+++ b/src/system/agreement/membership.hpp
@@ -1,5 +1,5 @@
-// Who shall have a vote next: a pure function of the present voters, what is known of their health, and the
-// learners that stand ready. Source: docs/design/control-safety.md, section 1.
+// Plans the next set of voters: a pure function of the current voters, what is known of their health, and the
+// learners that are ready to vote. Source: docs/design/control-safety.md, section 1.
 #pragma once
 
 #include <cstddef>
@@ -12,17 +12,17 @@
 namespace docklift::agreement {
 
 enum class VoterHealth {
-  well,
-  silent,     // not heard for long enough to be replaced by a learner that keeps the zones as they are
-  gone,       // not heard for so long that any learner is better
-  leaving,    // asked to end
-  destroyed,  // its address answers with another disk
+  healthy,
+  unresponsive,   // may be replaced by a learner that preserves the spread over zones
+  presumed_dead,  // unresponsive for so long that any learner is better
+  leaving,        // is shutting down
+  destroyed,      // its address answers with another disk
 };
 
 struct VoterReport {
   configuration::Voter voter;
   std::string zone;  // empty: not known
-  VoterHealth health = VoterHealth::well;
+  VoterHealth health = VoterHealth::healthy;
 };
 
 // A store without a vote whose copy is durable up to the proposer's position.
@@ -31,9 +31,9 @@
   std::string zone;
 };
 
-// The next voters, sorted; none where the present ones shall stay. `wanted`: the number of voters to grow to,
-// by two at a time. Never removes a voter without a successor.
-std::optional<std::vector<configuration::Voter>> next_voters(const std::vector<VoterReport>& present,
+// Returns the next voters, sorted; none if the current ones stay. `wanted` is the number of voters to grow
+// to, two at a time. Never removes a voter without a successor.
+std::optional<std::vector<configuration::Voter>> next_voters(const std::vector<VoterReport>& current,
                                                              std::vector<ReadyLearner> ready,
                                                              std::size_t wanted);
 
--- a/src/system/agreement/messages.cpp
+++ b/src/system/agreement/messages.cpp
@@ -45,15 +45,16 @@
   put(to.initChange(), entry.change);
 }
 LogEntry get(wire::Entry::Reader r) { return {r.getSlot(), get(r.getChange())}; }
-std::string packed(capnp::MessageBuilder& m) {
+std::string serialize(capnp::MessageBuilder& m) {
   const auto words = capnp::messageToFlatArray(m);
   const auto bytes = words.asBytes();
   return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-// Reads bytes as a message of type T, or none. The bytes are copied, as they may lie unaligned.
+// Reads the bytes as a message of type T; none if they are not one. The bytes are copied, as they may be
+// unaligned.
 template <class T, class Read>
-auto unpacked(std::string_view bytes, Read read)
+auto deserialize(std::string_view bytes, Read read)
     -> std::optional<decltype(read(std::declval<typename T::Reader>()))> {
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return std::nullopt;
   std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));
@@ -70,27 +71,27 @@
   }
 }
 
-// Writes each kind of message into its part of the frame.
+// Encodes each type of message into its fields of the frame.
 class Encoder {
  public:
   explicit Encoder(wire::Message::Builder frame) : frame_(frame) {}
 
   void operator()(const Prepare& m) {
-    head(m.slot, m.ballot);
+    put_header(m.slot, m.ballot);
     frame_.setPrepare();
   }
   void operator()(const Promise& m) {
-    head(m.slot, m.ballot);
+    put_header(m.slot, m.ballot);
     put(frame_.initPromised(), m.promised);
     auto list = frame_.initPromise(m.accepted ? 1 : 0);
     if (m.accepted) put(list[0], m.slot, *m.accepted);
   }
   void operator()(const Accept& m) {
-    head(m.slot, m.ballot);
+    put_header(m.slot, m.ballot);
     put(frame_.initAccept(), m.change);
   }
   void operator()(const Accepted& m) {
-    head(m.slot, m.ballot);
+    put_header(m.slot, m.ballot);
     put(frame_.initPromised(), m.promised);
     frame_.setAccepted();
   }
@@ -120,7 +121,7 @@
   }
 
  private:
-  void head(std::uint64_t slot, const Ballot& ballot) {
+  void put_header(std::uint64_t slot, const Ballot& ballot) {
     frame_.setSlot(slot);
     put(frame_.initBallot(), ballot);
   }
@@ -178,11 +179,11 @@
   frame.setPosition(envelope.sender.position);
   frame.setLogDigest(envelope.sender.log_digest);
   std::visit(Encoder(frame), envelope.message);
-  return packed(builder);
+  return serialize(builder);
 }
 
 std::optional<Envelope> decode(std::string_view bytes) {
-  return unpacked<wire::Message>(bytes, [](wire::Message::Reader m) -> Envelope {
+  return deserialize<wire::Message>(bytes, [](wire::Message::Reader m) -> Envelope {
     return {{m.getDisk(), m.getMembership(), m.getPosition(), m.getLogDigest()}, message_of(m)};
   });
 }
@@ -190,35 +191,35 @@
 std::string encode_state(const State& state) {
   capnp::MallocMessageBuilder builder;
   fleet::put(builder.initRoot<docklift::wire::Snapshot>(), state);
-  return packed(builder);
+  return serialize(builder);
 }
 std::optional<State> decode_state(std::string_view bytes) {
-  return unpacked<docklift::wire::Snapshot>(bytes,
-                                            [](docklift::wire::Snapshot::Reader r) { return fleet::get(r); });
+  return deserialize<docklift::wire::Snapshot>(
+      bytes, [](docklift::wire::Snapshot::Reader r) { return fleet::get(r); });
 }
 std::string encode_accepted(const AcceptedChange& accepted) {
   capnp::MallocMessageBuilder builder;
   put(builder.initRoot<wire::AcceptedChange>(), 0, accepted);
-  return packed(builder);
+  return serialize(builder);
 }
 std::optional<AcceptedChange> decode_accepted(std::string_view bytes) {
-  return unpacked<wire::AcceptedChange>(bytes, [](wire::AcceptedChange::Reader r) { return get(r); });
+  return deserialize<wire::AcceptedChange>(bytes, [](wire::AcceptedChange::Reader r) { return get(r); });
 }
 std::string encode_ballot(const Ballot& ballot) {
   capnp::MallocMessageBuilder builder;
   put(builder.initRoot<wire::Ballot>(), ballot);
-  return packed(builder);
+  return serialize(builder);
 }
 std::optional<Ballot> decode_ballot(std::string_view bytes) {
-  return unpacked<wire::Ballot>(bytes, [](wire::Ballot::Reader r) { return get(r); });
+  return deserialize<wire::Ballot>(bytes, [](wire::Ballot::Reader r) { return get(r); });
 }
 std::string encode_entry(const LogEntry& entry) {
   capnp::MallocMessageBuilder builder;
   put(builder.initRoot<wire::Entry>(), entry);
-  return packed(builder);
+  return serialize(builder);
 }
 std::optional<LogEntry> decode_entry(std::string_view bytes) {
-  return unpacked<wire::Entry>(bytes, [](wire::Entry::Reader r) { return get(r); });
+  return deserialize<wire::Entry>(bytes, [](wire::Entry::Reader r) { return get(r); });
 }
 
 }  // namespace docklift::agreement
--- a/src/system/agreement/messages.hpp
+++ b/src/system/agreement/messages.hpp
@@ -1,4 +1,5 @@
-// What stores say to each other, and what one must have on disk. Pure values.
+// The messages that stores exchange, and the records that a store keeps on disk. Plain values and their
+// encoding.
 #pragma once
 
 #include <compare>
@@ -17,16 +18,16 @@
 using configuration::State;
 using configuration::Voter;
 
-// Ordered by round. Two proposers never share a ballot, as it names address and disk; the first ballot of a
-// disk is durable before it is sent.
+// Ordered by round. Two proposers never share a ballot, as it names the proposer's address and disk; the
+// first ballot of a disk is durable before it is sent.
 struct Ballot {
   std::uint64_t round = 0;
-  std::string address;  // ip of the proposer
+  std::string address;  // IP address of the proposer
   std::uint64_t disk = 0;
   auto operator<=>(const Ballot&) const = default;
 };
 
-// What a place in the log of changes holds. `author` and `number` tell a proposer its own.
+// The content of one log slot. A proposer recognizes its own changes by `author` and `number`.
 struct Change {
   ChangeKind kind = ChangeKind::nothing;
   std::string text, author;
@@ -39,7 +40,7 @@
   Change change;
 };
 
-// A change that is decided.
+// A decided change.
 struct LogEntry {
   std::uint64_t slot = 0;
   Change change;
@@ -54,8 +55,8 @@
 };
 struct Promise {
   std::uint64_t slot = 0;
-  Ballot ballot;    // that was asked with
-  Ballot promised;  // granted if it is the one asked with
+  Ballot ballot;    // of the Prepare
+  Ballot promised;  // granted if equal to `ballot`
   std::optional<AcceptedChange> accepted;
 };
 struct Accept {  // phase 2
@@ -65,36 +66,36 @@
 };
 struct Accepted {
   std::uint64_t slot = 0;
-  Ballot ballot;
-  Ballot promised;  // accepted if it is the one asked with
+  Ballot ballot;    // of the Accept
+  Ballot promised;  // accepted if equal to `ballot`
 };
 struct StatusRequest {
   std::uint64_t round = 0;
 };
 struct Status {
-  std::uint64_t round = 0;
+  std::uint64_t round = 0;  // of the request
   std::uint64_t position = 0;
-  bool has_state = false;        // false: its disk was empty and it has not read the others yet
+  bool has_state = false;        // false: its disk was empty and it has not read the others' state yet
   bool eligible = false;         // may be made a voter
-  bool leaving = false;          // asked to end: it hands its vote over
+  bool leaving = false;          // is shutting down and hands its vote over
   std::uint64_t membership = 0;  // of its state
-  std::vector<std::pair<std::uint64_t, AcceptedChange>> accepted;  // at places beyond `position`
+  std::vector<std::pair<std::uint64_t, AcceptedChange>> accepted;  // in slots beyond `position`
 };
 struct Fetch {
   std::uint64_t after = 0;
 };
 struct Log {
-  std::vector<LogEntry> entries;  // in order, at most a batch
-  std::uint64_t newest = 0;       // position of the sender: beyond the batch there is more to fetch
-  std::uint64_t digest_before = configuration::kDigestNotKnown;  // at the place before the first entry
+  std::vector<LogEntry> entries;  // in order, at most one batch
+  std::uint64_t newest = 0;       // position of the sender: if beyond the batch, there is more to fetch
+  std::uint64_t digest_before = configuration::kDigestNotKnown;  // at the position before the first entry
 };
 
 using Message = std::variant<Prepare, Promise, Accept, Accepted, LogEntry, StatusRequest, Status, Fetch, Log>;
 
-// Who says something: with the address of the connection it tells which voter speaks, if any.
+// The sender of a message. Together with the address of the connection it identifies the voter, if it is one.
 struct Sender {
   std::uint64_t disk = 0;
-  std::uint64_t membership = 0;  // the membership number that the sender knows
+  std::uint64_t membership = 0;  // the highest membership number that the sender knows
   std::uint64_t position = 0;    // of its log, and the digest there
   std::uint64_t log_digest = configuration::kDigestNotKnown;
 };
@@ -106,16 +107,16 @@
 std::string encode(const Envelope& envelope);
 std::optional<Envelope> decode(std::string_view bytes);  // none: not a message of this protocol
 
-// The zone of a store, as it told on a link.
+// The zone of a store, as reported on a link.
 struct StoreZone {
   std::string address, zone;
 };
 
-// What is on disk.
+// What a store reads from its disk at startup.
 struct DurableState {
   std::uint64_t disk = 0;  // the disk's identity; 0: the disk is empty
   bool has_state = false;  // the disk holds a state
-  State state;             // a snapshot, with `log` applied on top by who reads it
+  State state;             // a snapshot; the reader applies `log` on top
   Ballot promised;
   std::vector<std::pair<std::uint64_t, AcceptedChange>> accepted;
   std::vector<LogEntry> log;  // after state.position, in order
@@ -123,7 +124,7 @@
   std::vector<Voter> destroyed;  // voters whose disks are known to be lost
 };
 
-// Records to write together; `durable`: what follows waits until they are on the disk.
+// Records to be written together; `durable`: later actions wait until they are on the disk.
 struct Write {
   std::optional<std::uint64_t> disk;
   std::optional<State> state;
@@ -132,8 +133,8 @@
   std::vector<LogEntry> log;
   std::vector<StoreZone> zones;
   std::vector<Voter> destroyed;
-  std::uint64_t trim_accepted_through = 0;  // places up to here
-  std::uint64_t trim_log_through = 0;       // places up to here
+  std::uint64_t trim_accepted_through = 0;  // removes the accepted changes of slots up to this one
+  std::uint64_t trim_log_through = 0;       // removes the log entries up to this one
   bool durable = false;
   bool empty() const {
     return !disk && !state && !promised && accepted.empty() && log.empty() && zones.empty() &&
--- a/src/system/agreement/replica_membership.cpp
+++ b/src/system/agreement/replica_membership.cpp
@@ -1,4 +1,4 @@
-// The change of voters: who is to be replaced by whom, and whose turn it is to propose that.
+// Membership changes: which voter is replaced by which learner, and which store proposes the change.
 #include <algorithm>
 
 #include "system/agreement/replica.hpp"
@@ -8,24 +8,24 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kHandOverAfter = 400ms;  // which is when the lease has been passed on
-constexpr Duration kVotersFirst = 1000ms;   // calls wait so long for the successors of lost disks
-constexpr Duration kTogether = 300ms;       // a successor that lacks a change yet is waited for
-constexpr Duration kTurn = 400ms;           // between the voters that may propose a change of voters, by rank
+constexpr Duration kHandoverDelay = 400ms;   // the lease has been released by then
+constexpr Duration kSuccessorWait = 1000ms;  // how long proposals wait for the successors of lost disks
+constexpr Duration kReplacementBatchDelay = 300ms;  // wait for a successor that still lacks a change
+constexpr Duration kProposerStagger = 400ms;  // delay per rank before a store proposes a membership change
 
 }  // namespace
 
-// The vote goes once the machine's registry has passed its lease on.
-bool Replica::hands_over() const { return leaving_ && now_ >= leaving_since_ + kHandOverAfter; }
+// The vote is handed over only after the machine's registry has released its lease.
+bool Replica::is_handing_over() const { return leaving_ && now_ >= leaving_since_ + kHandoverDelay; }
 
 VoterHealth Replica::health_of(Time now, const Voter& voter) const {
   if (is_destroyed(voter)) return VoterHealth::destroyed;
-  if (voter.address == options_.self) return hands_over() ? VoterHealth::leaving : VoterHealth::well;
-  if (lost_for(now, voter.address, options_.gone)) return VoterHealth::gone;
-  if (lost_for(now, voter.address, options_.silence)) return VoterHealth::silent;
+  if (voter.address == options_.self) return is_handing_over() ? VoterHealth::leaving : VoterHealth::healthy;
+  if (unresponsive_for(now, voter.address, options_.presumed_dead_after)) return VoterHealth::presumed_dead;
+  if (unresponsive_for(now, voter.address, options_.unresponsive_after)) return VoterHealth::unresponsive;
   const auto peer = peers_.find(voter.address);
-  const bool leaving = peer != peers_.end() && peer->second.told && peer->second.status.leaving;
-  return leaving ? VoterHealth::leaving : VoterHealth::well;
+  const bool leaving = peer != peers_.end() && peer->second.has_status && peer->second.status.leaving;
+  return leaving ? VoterHealth::leaving : VoterHealth::healthy;
 }
 
 std::vector<VoterReport> Replica::voter_reports(Time now) const {
@@ -42,86 +42,88 @@
   };
   if (options_.can_vote && !leaving_) add({options_.self, disk_}, options_.zone);
   for (const auto& [address, peer] : peers_) {
-    if (address == options_.self || !peer.told || !heard_recently(peer)) continue;
+    if (address == options_.self || !peer.has_status || !is_in_contact(peer)) continue;
     const auto& status = peer.status;
-    const bool stands_ready = status.has_state && status.position >= state_.position;
-    if (stands_ready && status.eligible && !status.leaving) add({address, peer.disk}, peer.zone);
+    const bool is_caught_up = status.has_state && status.position >= state_.position;
+    if (is_caught_up && status.eligible && !status.leaving) add({address, peer.disk}, peer.zone);
   }
   return ready;
 }
 
-// Whose turn it is to propose a change of voters: the voters in contact by address, then the learners, which
-// may be the only ones to have seen that a disk is destroyed. Who leaves looks after itself first.
-std::size_t Replica::rank(Time now) const {
+// The order in which stores propose a membership change: the healthy voters by address, then the learners,
+// which may be the only ones to have seen that a disk is destroyed. A leaving store comes first.
+std::size_t Replica::proposer_rank(Time now) const {
   if (leaving_) return 0;
-  const auto well_voters = std::ranges::count_if(state_.voters, [&](const Voter& voter) {
-    return (!votes() || voter.address < options_.self) && health_of(now, voter) == VoterHealth::well;
+  const auto healthy_voters = std::ranges::count_if(state_.voters, [&](const Voter& voter) {
+    return (!votes() || voter.address < options_.self) && health_of(now, voter) == VoterHealth::healthy;
   });
-  if (votes()) return static_cast<std::size_t>(well_voters);
+  if (votes()) return static_cast<std::size_t>(healthy_voters);
   const auto learners = ready_learners();
   const auto earlier_learners = std::ranges::count_if(
       learners, [&](const ReadyLearner& learner) { return learner.voter.address < options_.self; });
-  return static_cast<std::size_t>(well_voters + earlier_learners);
+  return static_cast<std::size_t>(healthy_voters + earlier_learners);
 }
 
 void Replica::propose_membership(Time now) {
   if (!has_state()) return;
   const auto next = next_voters(voter_reports(now), ready_learners(), 2 * options_.tolerated_failures + 1);
-  if (!may_have_quorum()) {
+  if (!can_form_quorum()) {
     withdraw_membership();
-    successors_since_.reset();  // calls wait once more as soon as the change of voters can be decided
+    successors_seen_since_.reset();  // proposals wait again as soon as a membership change can be decided
   }
-  if (!next || !may_have_quorum()) {
+  if (!next || !can_form_quorum()) {
     change_needed_since_.reset();
     return;
   }
   if (!change_needed_since_) change_needed_since_ = now;
-  const Time turn = *change_needed_since_ + kTurn * static_cast<int>(rank(now));
-  const bool one_too_few = std::ranges::any_of(*next,
-                                               [&](const Voter& voter) { return is_replaceable(voter); });
-  if (now < (one_too_few ? turn + kTogether : turn)) return;
+  const Time turn = *change_needed_since_ + kProposerStagger * static_cast<int>(proposer_rank(now));
+  const bool has_replaceable_voter = std::ranges::any_of(
+      *next, [&](const Voter& voter) { return is_replaceable(voter); });
+  if (now < (has_replaceable_voter ? turn + kReplacementBatchDelay : turn)) return;
   const auto text = configuration::encode(configuration::MembershipChange{state_.membership, *next});
-  const auto waiting = std::ranges::find(queue_, ChangeKind::membership, &Proposal::kind);
-  if (waiting == queue_.end()) {
-    out_.log_lines.push_back("proposes membership " + std::to_string(state_.membership + 1));
+  const auto queued = std::ranges::find(queue_, ChangeKind::membership, &Proposal::kind);
+  if (queued == queue_.end()) {
+    actions_.log_lines.push_back("proposes membership " + std::to_string(state_.membership + 1));
     queue_.push_front({0, ChangeKind::membership, text, now, false});
   } else if (phase_ != Phase::accepting) {
-    waiting->text = text;  // what is known by now; nobody has been offered the earlier one in this ballot
+    queued->text = text;  // updated to the latest plan: the earlier one was not yet proposed in this ballot
   }
 }
 
-// Another disk at the voter's address, whose store has the others' state and may vote.
+// Whether the voter's address has another disk, whose store has the others' state and may vote.
 bool Replica::has_successor(const Voter& voter) const {
   if (voter.address == options_.self) return options_.can_vote && !leaving_;
   const auto peer = peers_.find(voter.address);
-  if (peer == peers_.end() || !peer->second.told || peer->second.disk == voter.disk) return false;
+  if (peer == peers_.end() || !peer->second.has_status || peer->second.disk == voter.disk) return false;
   return peer->second.status.has_state && peer->second.status.eligible;
 }
 
 bool Replica::is_replaceable(const Voter& voter) const { return is_destroyed(voter) && has_successor(voter); }
 
-// The successors of lost disks get their votes before anything else is decided, as until then the next loss may be one
-// too many. Each other change would also put off the moment at which they have all that is decided.
-bool Replica::waits_for_voters(Time now) {
+// The successors of lost disks get their votes before anything else is decided, as until then one further
+// loss may exceed the tolerated ones. Every other change would also delay the moment at which they have
+// caught up.
+bool Replica::waits_for_successors(Time now) {
   const bool to_replace = std::ranges::any_of(state_.voters,
                                               [&](const Voter& voter) { return is_replaceable(voter); });
-  if (!to_replace || !may_have_quorum()) return false;
-  if (!successors_since_) successors_since_ = now;
-  return now < *successors_since_ + kVotersFirst;
+  if (!to_replace || !can_form_quorum()) return false;
+  if (!successors_seen_since_) successors_seen_since_ = now;
+  return now < *successors_seen_since_ + kSuccessorWait;
 }
 
-// A proposal of a change that is not needed any more, or can't be decided yet; unless it has been offered.
+// Withdraws a membership proposal that is no longer needed or can't be decided yet, unless it is already in
+// phase 2.
 void Replica::withdraw_membership() {
   if (phase_ == Phase::accepting || queue_.empty() || queue_.front().kind != ChangeKind::membership) return;
   queue_.pop_front();
-  ballot_for_first_ = false;
+  ballot_for_first_proposal_ = false;
 }
 
 bool Replica::may_stop(Time now) const {
-  if (!votes() || now >= leaving_since_ + options_.leave_limit) return true;
+  if (!votes() || now >= leaving_since_ + options_.handover_timeout) return true;
   return std::ranges::none_of(peers_, [&](const auto& entry) {
     const auto& [address, peer] = entry;
-    if (address == options_.self || !peer.told || !heard_recently(peer)) return false;
+    if (address == options_.self || !peer.has_status || !is_in_contact(peer)) return false;
     return peer.status.eligible && !peer.status.leaving && !is_voter({address, peer.disk});
   });
 }
--- a/tests/system/core_fleet.hpp
+++ b/tests/system/core_fleet.hpp
@@ -1,5 +1,5 @@
-// Stores in memory: virtual time, links that delay, lose and are cut, disks that lose power or are lost. What
-// operators were told is held against what is in force. By seed; nothing here sleeps.
+// Simulated stores for tests: virtual time, links that delay, lose and are cut, disks that lose power or are
+// lost. Tests compare the results of operations with what is in force. Deterministic by seed; nothing sleeps.
 #pragma once
 
 #include <deque>
@@ -32,31 +32,31 @@
          R"(","hc_path":"/healthz","max_conns":100,"warmup_s":3.0,"cold_per_s":5}]})";
 }
 
-// An order as a registry makes it that knows of the changes up to `base`.
+// The text of an evacuate or readmit command, as made by a registry that knows the changes up to `base`.
 inline std::string zone_command(const std::string& zone, std::uint64_t base) {
   return configuration::encode(configuration::EvacuationOrder{zone, base});
 }
 
-// What a store has on its disk: what is durable, and what was written after.
+// A store's disk: its durable contents, and the writes since the last sync.
 class MemoryDisk {
  public:
   void write(const agreement::Write& w) {
     pending_.push_back(w);
-    if (w.durable && !lies_) sync();
+    if (w.durable && !ignores_syncs_) sync();
   }
   void sync() {
     for (const auto& w : pending_) apply(w);
     pending_.clear();
   }
-  // Each later write is there or not, but none without those before it (one log file).
+  // A random prefix of the pending writes survives, as in one log file.
   void lose_power(std::mt19937_64& random) {
     const std::size_t kept = pending_.empty() ? 0 : random() % (pending_.size() + 1);
     for (std::size_t i = 0; i < kept; ++i) apply(pending_[i]);
     pending_.clear();
   }
-  void kill() { sync(); }  // files are left as they were
+  void kill() { sync(); }  // a killed process loses none of its writes
   void wipe() { kept_ = {}, accepted_.clear(), log_.clear(), pending_.clear(); }
-  void lie() { lies_ = true; }  // a planted fault: syncs do nothing
+  void ignore_syncs() { ignores_syncs_ = true; }  // injected fault: syncs do nothing
   agreement::DurableState read() const {
     auto k = kept_;
     k.accepted.assign(accepted_.begin(), accepted_.end());
@@ -80,29 +80,31 @@
   std::map<std::uint64_t, agreement::AcceptedChange> accepted_;
   std::map<std::uint64_t, LogEntry> log_;
   std::vector<agreement::Write> pending_;
-  bool lies_ = false;
+  bool ignores_syncs_ = false;
 };
 
+// The stores of a core, connected by simulated links.
 class CoreFleet {
  public:
   struct Member {
     std::string ip, zone;
     MemoryDisk disk;
     std::unique_ptr<Replica> replica;  // null: down
-    std::uint64_t life = 0;
-    std::vector<std::string> lost_voters{};  // as the operators say at its next start
+    std::uint64_t incarnation = 0;
+    std::vector<std::string> lost_voters{};  // declared by the operators at its next start
   };
+  // The result of a call.
   struct Answer {
-    int status = 0;  // 0: none yet
+    int status = 0;  // 0: pending
     std::string why;
   };
 
-  // Zones of the members, in order; their ips are 10.0.0.1, 10.0.0.2, ...
+  // `zones` are those of the members, in order; their addresses are 10.0.0.1, 10.0.0.2, ...
   CoreFleet(std::vector<std::string> zones, std::uint64_t seed, std::size_t machines_lost_at_once = 1)
-      : random(seed), tolerated(machines_lost_at_once) {
+      : random(seed), tolerated_failures(machines_lost_at_once) {
     for (std::size_t i = 0; i < zones.size(); ++i)
       members.push_back({"10.0.0." + std::to_string(i + 1), zones[i], {}, nullptr, 0});
-    for (auto& m : members) up(m, true);
+    for (auto& m : members) boot(m, true);
   }
 
   void run(Duration for_time) {
@@ -111,7 +113,7 @@
       auto e = events_.top();
       events_.pop();
       now = e.at;
-      e.what();
+      e.action();
     }
     now = until;
   }
@@ -125,57 +127,64 @@
   }
 
   std::uint64_t propose(std::size_t at, ChangeKind kind, const std::string& text) {
-    const auto id = ++calls_;
+    const auto id = ++last_call_;
     answers[id] = {};
-    if (members[at].replica) carry_out(members[at], members[at].replica->propose(now, id, kind, text));
+    if (members[at].replica) execute(members[at], members[at].replica->propose(now, id, kind, text));
     return id;
   }
-  // The answer of a call that is waited for.
-  int settled(std::uint64_t id, Duration limit = 20s) {
+  // Waits for a call to complete and returns its status, or 0 on a timeout.
+  int wait_for_status(std::uint64_t id, Duration limit = 20s) {
     run_until([&] { return answers[id].status != 0; }, limit);
     return answers[id].status;
   }
+  // Replaces the configuration at one store and returns the status.
   int put(std::size_t at, std::uint64_t version, std::uint64_t parent, const std::string& service = "alpha") {
-    return settled(propose(at, ChangeKind::replace, config_body(version, parent, service)));
+    return wait_for_status(propose(at, ChangeKind::replace, config_body(version, parent, service)));
   }
 
-  // Another machine, with an empty disk, at an address of its own.
+  // Adds a machine with an empty disk at a new address.
   std::size_t add(const std::string& zone) {
     members.push_back({"10.0.0." + std::to_string(members.size() + 1), zone, {}, nullptr, 0});
-    up(members.back(), false);
+    boot(members.back(), false);
     return members.size() - 1;
   }
-  void leave(std::size_t i) { carry_out(members[i], members[i].replica->leave(now)); }
+  void leave(std::size_t i) { execute(members[i], members[i].replica->leave(now)); }
   bool votes(std::size_t i) const { return members[i].replica && members[i].replica->votes(); }
   void kill(std::size_t i) { end(i), members[i].disk.kill(); }
   void lose_power(std::size_t i) { end(i), members[i].disk.lose_power(random); }
   void lose_disk(std::size_t i) { end(i), members[i].disk.wipe(); }
-  void start(std::size_t i) { up(members[i], false); }
-  void cut(std::size_t a, std::size_t b) { cuts_.insert({std::min(a, b), std::max(a, b)}), relink(); }
-  void heal() { cuts_.clear(), relink(); }
+  void start(std::size_t i) { boot(members[i], false); }
+  void cut_link(std::size_t a, std::size_t b) {
+    cut_links_.insert({std::min(a, b), std::max(a, b)}), update_links();
+  }
+  void heal() { cut_links_.clear(), update_links(); }
 
   const configuration::State& state(std::size_t i) const { return members[i].replica->state(); }
   bool is_up(std::size_t i) const { return members[i].replica != nullptr; }
 
   std::deque<Member> members;
   std::mt19937_64 random;
-  std::size_t tolerated = 1;  // machines that may be lost at once
+  std::size_t tolerated_failures = 1;  // machines that may be lost at once
   Time now{1h};
-  double loss = 0;  // of messages
-  Duration least = 1ms, most = 3ms;
-  std::map<std::size_t, Duration> far;  // what is added to the way to and from a member
+  double loss = 0;  // fraction of messages lost
+  Duration min_delay = 1ms, max_delay = 3ms;
+  std::map<std::size_t, Duration> extra_delay;  // added to each message to and from a member
   std::map<std::uint64_t, Answer> answers;
-  std::map<std::uint64_t, std::string> history;  // place -> what is in force there, as any store has told
-  std::vector<std::string> wrongs;               // two stores that differ
+  // The change in force in each slot, as reported by any store.
+  std::map<std::uint64_t, std::string> history;
+  // Slots at which two stores differ, and messages that can't be read.
+  std::vector<std::string> violations;
 
  private:
   struct Event {
     Time at{};
-    std::uint64_t order = 0;
-    std::function<void()> what;
-    bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
+    std::uint64_t sequence = 0;
+    std::function<void()> action;
+    bool operator<(const Event& o) const { return at != o.at ? at > o.at : sequence > o.sequence; }
   };
-  void later(Duration d, std::function<void()> what) { events_.push({now + d, ++order_, std::move(what)}); }
+  void schedule(Duration d, std::function<void()> action) {
+    events_.push({now + d, ++last_sequence_, std::move(action)});
+  }
 
   std::size_t index(const std::string& ip) const {
     for (std::size_t i = 0; i < members.size(); ++i)
@@ -183,29 +192,29 @@
     return members.size();
   }
   bool reaches(std::size_t a, std::size_t b) const {
-    return !cuts_.contains({std::min(a, b), std::max(a, b)});
+    return !cut_links_.contains({std::min(a, b), std::max(a, b)});
   }
 
   void end(std::size_t i) {
     members[i].replica.reset();
-    ++members[i].life;
-    relink();
+    ++members[i].incarnation;
+    update_links();
   }
 
-  void up(Member& m, bool bootstrap) {
+  void boot(Member& m, bool bootstrap) {
     agreement::Options o;
     o.self = m.ip, o.zone = m.zone, o.bootstrap = bootstrap, o.random_seed = random();
-    o.new_disk = 100 + ++disks_;
-    o.tolerated_failures = tolerated;
+    o.new_disk = 100 + ++last_disk_;
+    o.tolerated_failures = tolerated_failures;
     o.lost_voters = m.lost_voters;
     for (std::size_t i = 0; i < std::min<std::size_t>(3, members.size()); ++i)
       o.seeds.push_back(members[i].ip);
     m.replica = std::make_unique<Replica>(o, m.disk.read());
-    carry_out(m, m.replica->start(now));
-    relink();
-    tick(m, m.life);
+    execute(m, m.replica->start(now));
+    update_links();
+    tick(m, m.incarnation);
   }
-  void relink() {
+  void update_links() {
     for (std::size_t a = 0; a < members.size(); ++a)
       for (std::size_t b = 0; b < members.size(); ++b) {
         if (a == b || !members[a].replica) continue;
@@ -216,40 +225,43 @@
         }
       }
   }
-  void tick(Member& m, std::uint64_t life) {
+  void tick(Member& m, std::uint64_t incarnation) {
     const auto i = index(m.ip);
-    later(50ms, [this, i, life] {
+    schedule(50ms, [this, i, incarnation] {
       auto& at = members[i];
-      if (!at.replica || at.life != life) return;
-      carry_out(at, at.replica->tick(now));
-      tick(at, life);
+      if (!at.replica || at.incarnation != incarnation) return;
+      execute(at, at.replica->tick(now));
+      tick(at, incarnation);
     });
   }
-  void carry_out(Member& m, agreement::Actions out) {
-    if (!out.write.empty()) m.disk.write(out.write);
-    out.sends.insert(out.sends.begin(), out.immediate_sends.begin(), out.immediate_sends.end());
-    for (const auto& c : out.chosen) {
+  void execute(Member& m, agreement::Actions actions) {
+    if (!actions.write.empty()) m.disk.write(actions.write);
+    actions.sends.insert(actions.sends.begin(), actions.immediate_sends.begin(),
+                         actions.immediate_sends.end());
+    for (const auto& c : actions.chosen) {
       const auto text = std::to_string(static_cast<int>(c.change.kind)) + c.change.text;
-      const auto [it, fresh] = history.try_emplace(c.slot, text);
-      if (!fresh && it->second != text)
-        wrongs.push_back("place " + std::to_string(c.slot) + " holds two changes");
+      const auto [it, inserted] = history.try_emplace(c.slot, text);
+      if (!inserted && it->second != text)
+        violations.push_back("slot " + std::to_string(c.slot) + " holds two changes");
     }
-    for (const auto& s : out.completions) answers[s.id] = {s.status, s.why};
+    for (const auto& s : actions.completions) answers[s.id] = {s.status, s.why};
     const auto from = index(m.ip);
-    const auto life = m.life;
-    for (const auto& need : out.snapshot_requests) send_snapshot(from, index(need.to), m.replica->state());
-    for (auto& s : out.sends) {
+    const auto incarnation = m.incarnation;
+    for (const auto& need : actions.snapshot_requests)
+      send_snapshot(from, index(need.to), m.replica->state());
+    for (auto& s : actions.sends) {
       const auto to = index(s.to);
       if (to >= members.size()) continue;
       const bool own = to == from;
       if (!own && is_lost(from, to)) continue;
       const Duration d = delay(from, to);
-      // Through the encoding, as on the wire.
-      later(d, [this, to, from, life, own, bytes = agreement::encode(s.envelope)] {
-        if (!members[to].replica || (own && members[to].life != life) || !reaches(from, to)) return;
+      // Encoded and decoded as on the wire.
+      schedule(d, [this, to, from, incarnation, own, bytes = agreement::encode(s.envelope)] {
+        if (!members[to].replica || (own && members[to].incarnation != incarnation) || !reaches(from, to))
+          return;
         const auto envelope = agreement::decode(bytes);
-        if (!envelope) return wrongs.push_back("a message can't be read");
-        carry_out(members[to], members[to].replica->receive(now, members[from].ip, *envelope));
+        if (!envelope) return violations.push_back("a message can't be read");
+        execute(members[to], members[to].replica->receive(now, members[from].ip, *envelope));
       });
     }
   }
@@ -259,26 +271,26 @@
   }
   Duration delay(std::size_t from, std::size_t to) {
     const bool own = to == from;
-    const auto spread = static_cast<std::uint64_t>((most - least).count() + 1);
-    Duration d = own ? Duration(1us) : least + Duration(static_cast<Duration::rep>(random() % spread));
+    const auto spread = static_cast<std::uint64_t>((max_delay - min_delay).count() + 1);
+    Duration d = own ? Duration(1us) : min_delay + Duration(static_cast<Duration::rep>(random() % spread));
     for (const auto end : {from, to})
-      if (const auto more = far.find(end); !own && more != far.end()) d += more->second;
+      if (const auto more = extra_delay.find(end); !own && more != extra_delay.end()) d += more->second;
     return d;
   }
-  // Whole and at once; how it goes in parts is transfer_test's.
+  // Sent in one message; transfer_test covers the transfer in chunks.
   void send_snapshot(std::size_t from, std::size_t to, const configuration::State& state) {
     if (to >= members.size() || is_lost(from, to)) return;
-    later(delay(from, to), [this, to, from, snapshot = transfer::encode(state)] {
+    schedule(delay(from, to), [this, to, from, snapshot = transfer::encode(state)] {
       if (!members[to].replica || !reaches(from, to)) return;
       const auto decoded = transfer::decode(snapshot->bytes);
-      if (!decoded) return wrongs.push_back("a snapshot can't be read");
-      carry_out(members[to], members[to].replica->receive_snapshot(now, *decoded));
+      if (!decoded) return violations.push_back("a snapshot can't be read");
+      execute(members[to], members[to].replica->receive_snapshot(now, *decoded));
     });
   }
 
   std::priority_queue<Event> events_;
-  std::uint64_t order_ = 0, calls_ = 0, disks_ = 0;
-  std::set<std::pair<std::size_t, std::size_t>> cuts_;
+  std::uint64_t last_sequence_ = 0, last_call_ = 0, last_disk_ = 0;
+  std::set<std::pair<std::size_t, std::size_t>> cut_links_;
 };
 
 }  // namespace docklift::test
