--- a/tests/system/agreement_test.cpp
+++ b/tests/system/agreement_test.cpp
@@ -486,14 +486,14 @@
 // position from before the restart.
 BOOST_AUTO_TEST_CASE(
     given_a_restarted_store_when_it_requests_statuses_then_replies_to_its_former_incarnation_do_not_count) {
-  docklift::agreement::DurableState kept;
-  kept.has_state = true;
-  kept.disk = 1;
-  kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
+  docklift::agreement::DurableState stored;
+  stored.has_state = true;
+  stored.disk = 1;
+  stored.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   const auto rounds_with_seed = [&](std::uint64_t random_seed) {
     docklift::agreement::Options options;
     options.self = "10.0.0.3", options.zone = "b", options.random_seed = random_seed;
-    Replica store(options, kept);
+    Replica store(options, stored);
     store.start(Time{1h});
     std::set<std::uint64_t> rounds;
     for (auto now = Time{1h}; now < Time{1h} + 5s; now += 50ms)
@@ -511,21 +511,21 @@
 // a survivor that can't learn the change itself would be blocked forever.
 BOOST_AUTO_TEST_CASE(
     given_an_accepted_change_when_another_store_is_one_position_ahead_then_it_is_learned_as_decided) {
-  docklift::agreement::DurableState kept;
-  kept.has_state = true;
-  kept.disk = 1;
-  kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
+  docklift::agreement::DurableState stored;
+  stored.has_state = true;
+  stored.disk = 1;
+  stored.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   const docklift::configuration::MembershipChange next{0,
                                                        {{"10.0.0.1", 7}, {"10.0.0.2", 1}, {"10.0.0.3", 1}}};
   const docklift::agreement::Change change{ChangeKind::membership, docklift::configuration::encode(next),
                                            "10.0.0.2", 1};
-  kept.accepted = {{1, {{1, "10.0.0.2", 1}, change}}};
-  auto after = kept.state;
+  stored.accepted = {{1, {{1, "10.0.0.2", 1}, change}}};
+  auto after = stored.state;
   BOOST_REQUIRE(docklift::configuration::apply(after, change.kind, change.text));
   docklift::agreement::Options options;
   options.self = "10.0.0.3", options.zone = "b";
   const auto position_after = [&](std::uint64_t digest) {
-    Replica store(options, kept);
+    Replica store(options, stored);
     store.start(Time{1h});
     const docklift::agreement::Sender decider{1, after.membership, after.position, digest};
     store.receive(Time{1h} + 1ms, "10.0.0.2", {decider, docklift::agreement::StatusRequest{1}});
@@ -541,13 +541,13 @@
     given_successors_seen_before_a_gap_when_voters_are_lost_then_their_grace_period_restarts) {
   namespace agreement = docklift::agreement;
   constexpr std::uint64_t kSuccessorDisk = 9;
-  agreement::DurableState kept;
-  kept.has_state = true;
-  kept.disk = 1;
-  kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
+  agreement::DurableState stored;
+  stored.has_state = true;
+  stored.disk = 1;
+  stored.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   agreement::Options options;
   options.self = "10.0.0.3", options.zone = "b";
-  Replica store(options, kept);
+  Replica store(options, stored);
   Time now{1h};
   store.on_link_up("10.0.0.1", "a"), store.on_link_up("10.0.0.2", "a");
   std::deque<agreement::Envelope> own;
@@ -577,7 +577,7 @@
                                  docklift::configuration::encode(docklift::configuration::MembershipChange{
                                      0, {{"10.0.0.1", 8}, {"10.0.0.2", 8}, {"10.0.0.3", 1}}}),
                                  "10.0.0.1", 1};
-  const agreement::Sender decider{kSuccessorDisk, 0, 0, kept.state.log_digest};
+  const agreement::Sender decider{kSuccessorDisk, 0, 0, stored.state.log_digest};
   queue_own_messages(store.receive(now, "10.0.0.1", {decider, agreement::LogEntry{1, change}}));
   const auto position_before = store.state().position;
   report_successors();
@@ -607,13 +607,13 @@
 
 BOOST_AUTO_TEST_CASE(given_a_proposer_when_it_sends_a_ballot_then_its_own_promise_is_durable_first) {
   // Otherwise a proposer that restarts after a power loss could propose another change under the same ballot.
-  docklift::agreement::DurableState kept;
-  kept.has_state = true;
-  kept.disk = 1;
-  kept.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
+  docklift::agreement::DurableState stored;
+  stored.has_state = true;
+  stored.disk = 1;
+  stored.state.voters = {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
   docklift::agreement::Options options;
   options.self = "10.0.0.1", options.zone = "a";
-  Replica store(options, kept);
+  Replica store(options, stored);
   store.start(Time{1h});
   const auto out = store.propose(Time{1h}, 1, ChangeKind::replace, config_body(1, 0));
   BOOST_REQUIRE(out.sends.size() == 3);
--- a/tests/system/core_fleet.hpp
+++ b/tests/system/core_fleet.hpp
@@ -50,33 +50,33 @@
   }
   // A random prefix of the pending writes survives, as in one log file.
   void lose_power(std::mt19937_64& random) {
-    const std::size_t kept = pending_.empty() ? 0 : random() % (pending_.size() + 1);
-    for (std::size_t i = 0; i < kept; ++i) apply(pending_[i]);
+    const std::size_t surviving = pending_.empty() ? 0 : random() % (pending_.size() + 1);
+    for (std::size_t i = 0; i < surviving; ++i) apply(pending_[i]);
     pending_.clear();
   }
   void kill() { sync(); }  // a killed process loses none of its writes
-  void wipe() { kept_ = {}, accepted_.clear(), log_.clear(), pending_.clear(); }
+  void wipe() { durable_ = {}, accepted_.clear(), log_.clear(), pending_.clear(); }
   void ignore_syncs() { ignores_syncs_ = true; }  // injected fault: syncs do nothing
   agreement::DurableState read() const {
-    auto k = kept_;
-    k.accepted.assign(accepted_.begin(), accepted_.end());
-    for (const auto& [slot, c] : log_) k.log.push_back(c);
-    return k;
+    auto state = durable_;
+    state.accepted.assign(accepted_.begin(), accepted_.end());
+    for (const auto& [slot, entry] : log_) state.log.push_back(entry);
+    return state;
   }
 
  private:
   void apply(const agreement::Write& w) {
-    if (w.disk) kept_.disk = *w.disk;
-    kept_.zones.insert(kept_.zones.end(), w.zones.begin(), w.zones.end());
-    kept_.destroyed.insert(kept_.destroyed.end(), w.destroyed.begin(), w.destroyed.end());
-    if (w.state) kept_.state = *w.state, kept_.has_state = true;
-    if (w.promised) kept_.promised = *w.promised;
+    if (w.disk) durable_.disk = *w.disk;
+    durable_.zones.insert(durable_.zones.end(), w.zones.begin(), w.zones.end());
+    durable_.destroyed.insert(durable_.destroyed.end(), w.destroyed.begin(), w.destroyed.end());
+    if (w.state) durable_.state = *w.state, durable_.has_state = true;
+    if (w.promised) durable_.promised = *w.promised;
     std::erase_if(accepted_, [&](const auto& a) { return a.first <= w.trim_accepted_through; });
     std::erase_if(log_, [&](const auto& a) { return a.first <= w.trim_log_through; });
     for (const auto& [slot, a] : w.accepted) accepted_[slot] = a;
     for (const auto& c : w.log) log_[c.slot] = c;
   }
-  agreement::DurableState kept_;
+  agreement::DurableState durable_;
   std::map<std::uint64_t, agreement::AcceptedChange> accepted_;
   std::map<std::uint64_t, LogEntry> log_;
   std::vector<agreement::Write> pending_;
