--- a/src/system/http/head.cpp
+++ b/src/system/http/head.cpp
@@ -50,11 +50,12 @@
 }
 
 // The end of a head in the text, or how reading it stands.
-ReadHead find_end(std::string_view text, std::size_t skipped, std::size_t limit) {
+ParseResult find_end(std::string_view text, std::size_t skipped, std::size_t limit) {
   const auto end = text.find("\r\n\r\n", skipped);
-  if (end == std::string_view::npos) return {text.size() - skipped > limit ? Read::too_long : Read::more, 0};
-  if (end + 4 - skipped > limit) return {Read::too_long, 0};
-  return {Read::done, end + 4};
+  if (end == std::string_view::npos)
+    return {text.size() - skipped > limit ? ParseStatus::too_long : ParseStatus::incomplete, 0};
+  if (end + 4 - skipped > limit) return {ParseStatus::too_long, 0};
+  return {ParseStatus::complete, end + 4};
 }
 
 }  // namespace
@@ -102,46 +103,48 @@
   return minor == 1 || lists("Connection", "keep-alive");
 }
 
-ReadHead read_request(std::string_view text, std::size_t limit, Head& head) {
+ParseResult parse_request_head(std::string_view text, std::size_t limit, Head& head) {
   std::size_t skipped = 0;
   while (text.substr(skipped).starts_with("\r\n")) skipped += 2;
   const auto found = find_end(text, skipped, limit);
-  if (found.read != Read::done) return found;
+  if (found.status != ParseStatus::complete) return found;
   const auto all = text.substr(skipped, found.used - skipped - 2);
   const auto line_end = all.find("\r\n");
   const auto line = all.substr(0, line_end);
   const auto first = line.find(' ');
   const auto last = line.rfind(' ');
-  if (first == std::string_view::npos || first == last) return {Read::bad, 0};
+  if (first == std::string_view::npos || first == last) return {ParseStatus::malformed, 0};
   head = {};
   head.method = line.substr(0, first), head.target = line.substr(first + 1, last - first - 1);
   const auto minor = minor_of(line.substr(last + 1));
   if (!minor || !is_token(head.method) || !visible(head.target) || head.target.front() != '/')
-    return {Read::bad, 0};
+    return {ParseStatus::malformed, 0};
   head.minor = *minor;
-  if (!read_fields(all.substr(line_end + 2), head)) return {Read::bad, 0};
+  if (!read_fields(all.substr(line_end + 2), head)) return {ParseStatus::malformed, 0};
   return found;
 }
 
-ReadHead read_answer(std::string_view text, std::size_t limit, Head& head) {
+ParseResult parse_response_head(std::string_view text, std::size_t limit, Head& head) {
   const auto found = find_end(text, 0, limit);
-  if (found.read != Read::done) {
+  if (found.status != ParseStatus::complete) {
     // Bytes that can't begin an answer are told at once.
     const auto begin = text.substr(0, 7);
-    if (!std::string_view("HTTP/1.").starts_with(begin)) return {Read::bad, 0};
+    if (!std::string_view("HTTP/1.").starts_with(begin)) return {ParseStatus::malformed, 0};
     return found;
   }
   const auto all = text.substr(0, found.used - 2);
   const auto line_end = all.find("\r\n");
   const auto line = all.substr(0, line_end);
-  if (line.size() < 12 || line[8] != ' ' || (line.size() > 12 && line[12] != ' ')) return {Read::bad, 0};
+  if (line.size() < 12 || line[8] != ' ' || (line.size() > 12 && line[12] != ' '))
+    return {ParseStatus::malformed, 0};
   const auto minor = minor_of(line.substr(0, 8));
   const auto digits = line.substr(9, 3);
-  if (!minor || digits.find_first_not_of("0123456789") != std::string_view::npos) return {Read::bad, 0};
+  if (!minor || digits.find_first_not_of("0123456789") != std::string_view::npos)
+    return {ParseStatus::malformed, 0};
   head = {};
   head.minor = *minor;
   std::from_chars(digits.data(), digits.data() + 3, head.status);
-  if (head.status < 100 || !read_fields(all.substr(line_end + 2), head)) return {Read::bad, 0};
+  if (head.status < 100 || !read_fields(all.substr(line_end + 2), head)) return {ParseStatus::malformed, 0};
   return found;
 }
 
@@ -157,16 +160,16 @@
 }
 }  // namespace
 
-std::optional<stream::BodyKind> body_of(const Head& head) {
+std::optional<stream::BodyKind> request_body_kind(const Head& head) {
   const auto kind = told(head);
   if (kind && kind->coding == stream::Coding::chunked && head.minor == 0) return std::nullopt;
   return kind;
 }
 
-std::optional<AnswerBody> body_of_answer(const Head& head, std::string_view method) {
+std::optional<ResponseBody> response_body(const Head& head, std::string_view method) {
   const auto kind = told(head);
   if (!kind) return std::nullopt;
-  AnswerBody b{*kind};
+  ResponseBody b{*kind};
   b.none = method == "HEAD" || head.status == 204 || head.status == 304 || head.status < 200;
   if (b.none) b.kind = {};
   b.to_end = !b.none && b.kind.coding == stream::Coding::none;
--- a/src/system/http/head.hpp
+++ b/src/system/http/head.hpp
@@ -31,23 +31,23 @@
   bool keeps_alive() const;
 };
 
-enum class Read { more, done, bad, too_long };
-struct ReadHead {
-  Read read = Read::more;
+enum class ParseStatus { incomplete, complete, malformed, too_long };
+struct ParseResult {
+  ParseStatus status = ParseStatus::incomplete;
   std::size_t used = 0;  // bytes of the head, its empty line included; blank lines ahead of a request too
 };
 // `limit`: bytes of a head at most.
-ReadHead read_request(std::string_view text, std::size_t limit, Head& head);
-ReadHead read_answer(std::string_view text, std::size_t limit, Head& head);
+ParseResult parse_request_head(std::string_view text, std::size_t limit, Head& head);
+ParseResult parse_response_head(std::string_view text, std::size_t limit, Head& head);
 
 // How a request's body is told; none: in doubt.
-std::optional<stream::BodyKind> body_of(const Head& head);
+std::optional<stream::BodyKind> request_body_kind(const Head& head);
 // Of an answer to `method` with this status: `to_end` where it ends with the connection.
-struct AnswerBody {
+struct ResponseBody {
   stream::BodyKind kind;
   bool none = false, to_end = false;
 };
-std::optional<AnswerBody> body_of_answer(const Head& head, std::string_view method);
+std::optional<ResponseBody> response_body(const Head& head, std::string_view method);
 
 bool same(std::string_view a, std::string_view b);  // names of fields, case aside
 std::string_view trimmed(std::string_view s);
--- a/src/system/http/server.cpp
+++ b/src/system/http/server.cpp
@@ -28,14 +28,15 @@
   // One whole call of what was read.
   void take() {
     Head head;
-    const auto r = read_request(in, server->limits_.head_bytes, head);
-    if (r.read == Read::more) return read();
-    if (r.read != Read::done) return answer({r.read == Read::bad ? 400 : 431, ""}, false);
-    const auto kind = body_of(head);
+    const auto r = parse_request_head(in, server->limits_.head_bytes, head);
+    if (r.status == ParseStatus::incomplete) return read();
+    if (r.status != ParseStatus::complete)
+      return answer({r.status == ParseStatus::malformed ? 400 : 431, ""}, false);
+    const auto kind = request_body_kind(head);
     if (!kind) return answer({400, ""}, false);
     if (kind->coding == stream::Coding::length && kind->length > server->limits_.body_bytes)
       return answer({413, ""}, false);
-    Call call{std::string(head.method), std::string(head.target), "", caller_gone};
+    Request call{std::string(head.method), std::string(head.target), "", client_disconnected};
     stream::BodyDecoder decoder(*kind);
     std::string_view rest = std::string_view(in).substr(r.used);
     if (kind->coding == stream::Coding::length && rest.size() < kind->length) {
@@ -62,8 +63,8 @@
     });
   }
 
-  void hand_over(const Call& call, bool keep) {
-    server->handle_(call, [weak = weak_from_this(), keep, done = false](const Answer& a) mutable {
+  void hand_over(const Request& call, bool keep) {
+    server->handle_(call, [weak = weak_from_this(), keep, done = false](const Response& a) mutable {
       if (std::exchange(done, true)) return;
       if (const auto self = weak.lock(); self && self->server) self->answer(a, keep);
     });
@@ -78,7 +79,7 @@
                              self->watching = false;
                              if (!self->server) return;
                              self->in.append(self->ahead.data(), n);
-                             if (failed) *self->caller_gone = true;
+                             if (failed) *self->client_disconnected = true;
                              if (!self->answering) self->next();
                            });
   }
@@ -86,12 +87,12 @@
   // After an answer.
   void next() {
     if (watching) return arm(server->limits_.idle);
-    if (*caller_gone) return end();
+    if (*client_disconnected) return end();
     if (in.empty()) return read();
     take();
   }
 
-  void answer(const Answer& a, bool keep) {
+  void answer(const Response& a, bool keep) {
     out = "HTTP/1.1 " + std::to_string(a.status) + " " + std::string(reason(a.status)) + "\r\n";
     if (!a.body.empty()) out += "Content-Type: application/json\r\n";
     if (a.retry_after_s > 0) out += "Retry-After: " + std::to_string(a.retry_after_s).substr(0, 5) + "\r\n";
@@ -128,11 +129,11 @@
   std::array<char, 4096> ahead;  // bytes behind the call that is being answered
   bool watching = false;         // a read into `ahead` is under way
   bool answering = false;
-  std::shared_ptr<bool> caller_gone = std::make_shared<bool>(false);
+  std::shared_ptr<bool> client_disconnected = std::make_shared<bool>(false);
   std::size_t want = 0;  // bytes of the message being read, where known
 };
 
-Server::Server(asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, Handle handle)
+Server::Server(asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, Handler handle)
     : acceptor_(io.get_executor()), limits_(limits), handle_(std::move(handle)) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(Acceptor::reuse_address(true));
--- a/src/system/http/server.hpp
+++ b/src/system/http/server.hpp
@@ -12,16 +12,16 @@
 
 namespace docklift::http {
 
-struct Answer {
+struct Response {
   int status = 200;
   std::string body;          // JSON; may be empty
   double retry_after_s = 0;  // told where above 0
 };
-struct Call {
+struct Request {
   std::string method, target, body;
   // Becomes true when the caller closes its connection before it has the answer; also where the close came right
   // behind the call, as when a cut has held up both. A caller that closes only its sending half counts as gone.
-  std::shared_ptr<const bool> caller_gone;
+  std::shared_ptr<const bool> client_disconnected;
   std::string_view path() const { return std::string_view(target).substr(0, target.find('?')); }
 };
 
@@ -32,9 +32,9 @@
 
 class Server {
  public:
-  using Respond = std::function<void(Answer)>;  // called once, now or later
-  using Handle = std::function<void(const Call&, Respond)>;
-  Server(boost::asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, Handle handle);
+  using Respond = std::function<void(Response)>;  // called once, now or later
+  using Handler = std::function<void(const Request&, Respond)>;
+  Server(boost::asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, Handler handle);
   ~Server();
   void close();  // stops accepting; open calls end
 
@@ -43,7 +43,7 @@
   void accept();
   Acceptor acceptor_;
   ServerLimits limits_;
-  Handle handle_;
+  Handler handle_;
   std::set<std::shared_ptr<Session>> sessions_;
   bool closed_ = false;
 };
--- a/src/system/program/program.cpp
+++ b/src/system/program/program.cpp
@@ -11,7 +11,7 @@
 
 namespace docklift {
 
-std::uint64_t draw_life() {
+std::uint64_t new_incarnation() {
   return static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch() /
                                     std::chrono::nanoseconds(1));
 }
--- a/src/system/program/program.hpp
+++ b/src/system/program/program.hpp
@@ -44,6 +44,6 @@
 };
 
 // A number that no other process has drawn; wall-clock nanoseconds, so that a later start draws a higher one.
-std::uint64_t draw_life();
+std::uint64_t new_incarnation();
 
 }  // namespace docklift
--- a/src/system/proxy/control_client.cpp
+++ b/src/system/proxy/control_client.cpp
@@ -27,7 +27,7 @@
       unit_calls_(kUnitCalls),
       timer_(io.get_executor()) {
   self_.id = settings.hostname, self_.zone = settings.zone, self_.role = fleet::Role::PROXY;
-  self_.life = draw_life();
+  self_.life = new_incarnation();
   if (const auto http = settings.listen.find("http"); http != settings.listen.end())
     self_.address = http->second;
 }
--- a/src/system/proxy/proxy.cpp
+++ b/src/system/proxy/proxy.cpp
@@ -45,7 +45,7 @@
     if (failed(where)) return failure(where);
     readyz_ = std::make_unique<http::Server>(
         io_, value(where), http::ServerLimits{},
-        [this](const http::Call& call, const http::Server::Respond& respond) {
+        [this](const http::Request& call, const http::Server::Respond& respond) {
           if (call.path() != "/readyz") return respond({404, ""});
           respond({serves() ? 200 : 503, ""});
         });
--- a/src/system/proxy/session.cpp
+++ b/src/system/proxy/session.cpp
@@ -110,14 +110,14 @@
 bool Session::read_head() {
   const auto limits = host_->limits();
   http::Head head;
-  const auto r = http::read_request(in_, limits.header_bytes, head);
-  if (r.read == http::Read::more) {
+  const auto r = http::parse_request_head(in_, limits.header_bytes, head);
+  if (r.status == http::ParseStatus::incomplete) {
     if (!in_.empty() && !limit_ && slots_.empty()) wait_for(limits.header_ms, false);
     return false;
   }
-  if (r.read == http::Read::bad) return refuse({400}), false;
-  if (r.read != http::Read::done) return refuse(host_->denial(431)), false;
-  const auto kind = http::body_of(head);
+  if (r.status == http::ParseStatus::malformed) return refuse({400}), false;
+  if (r.status != http::ParseStatus::complete) return refuse(host_->denial(431)), false;
+  const auto kind = http::request_body_kind(head);
   const auto host = head.only("Host");
   const auto id = head.only("Attempt-Id");
   if (!kind || !host || !id || id->empty()) return refuse({400}), false;
--- a/src/system/proxy/upstream.cpp
+++ b/src/system/proxy/upstream.cpp
@@ -89,14 +89,14 @@
   bool take() {
     while (true) {
       http::Head head;
-      const auto r = http::read_answer(in, kHead, head);
-      if (r.read == http::Read::more) return false;
-      if (r.read != http::Read::done) return end(Outcome::garbled), true;
+      const auto r = http::parse_response_head(in, kHead, head);
+      if (r.status == http::ParseStatus::incomplete) return false;
+      if (r.status != http::ParseStatus::complete) return end(Outcome::garbled), true;
       if (head.status < 200) {
         in.erase(0, r.used);
         continue;
       }
-      const auto kind = http::body_of_answer(head, attempt.method);
+      const auto kind = http::response_body(head, attempt.method);
       if (!kind || kind->to_end || (kind->kind.coding == stream::Coding::length && kind->kind.length > kBody))
         return end(Outcome::garbled), true;
       std::string_view rest = std::string_view(in).substr(r.used);
--- a/src/system/registry/handlers.cpp
+++ b/src/system/registry/handlers.cpp
@@ -20,12 +20,12 @@
 }  // namespace
 
 // That a server ends is acknowledged where it is sure to come to the proxies that are linked elsewhere.
-http::Answer Instances::acknowledge_end() const {
+http::Response Instances::acknowledge_end() const {
   if (registry_.reaches_majority()) return {200, "{}"};
   return {503, body_of_error("this node is cut off from the others"), kRetryAfterS};
 }
 
-bool Instances::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool Instances::handle(const http::Request& call, const http::Server::Respond& respond) {
   const Time now = registry_.now();
   if (const auto id = after(call.path(), "/Instances.Leave/")) {
     fleet::Server s;
@@ -52,14 +52,14 @@
       return true;
     }
     registry_.heard(s);
-    respond(s.phase == fleet::Phase::READY ? http::Answer{200, "{}"} : acknowledge_end());
+    respond(s.phase == fleet::Phase::READY ? http::Response{200, "{}"} : acknowledge_end());
   } catch (const Json::exception& x) {
     respond({400, body_of_error(x.what())});
   }
   return true;
 }
 
-bool Configurations::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool Configurations::handle(const http::Request& call, const http::Server::Respond& respond) {
   const auto path = call.path();
   if (path == "/Config.Read") {
     // The newest that a majority knows of, also where this machine was cut off until now.
@@ -87,7 +87,7 @@
   return true;
 }
 
-bool Evacuations::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool Evacuations::handle(const http::Request& call, const http::Server::Respond& respond) {
   const auto start = after(call.path(), "/Evac.Start/");
   const auto stop = after(call.path(), "/Evac.Stop/");
   if (!start && !stop) return false;
@@ -100,11 +100,11 @@
   const auto answer = [respond](int status, const std::string& why, std::uint64_t) {
     respond({status, status == 200 ? "{}" : body_of_error(why), status == 503 ? kRetryAfterS : 0});
   };
-  registry_.propose(kind, configuration::encode(order), answer, call.caller_gone);
+  registry_.propose(kind, configuration::encode(order), answer, call.client_disconnected);
   return true;
 }
 
-bool Directory::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool Directory::handle(const http::Request& call, const http::Server::Respond& respond) {
   if (call.path() != "/resolve") return false;
   constexpr std::size_t kMost = 64;
   constexpr int kTtlS = 2;
@@ -130,14 +130,14 @@
   return true;
 }
 
-bool EndingNode::handle(const http::Call&, const http::Server::Respond& respond) {
+bool EndingNode::handle(const http::Request&, const http::Server::Respond& respond) {
   if (!registry_.ends()) return false;
   respond({503, body_of_error("this node ends"), kRetryAfterS});
   return true;
 }
 
-http::Server::Handle dispatch(std::vector<std::shared_ptr<Handler>> handlers) {
-  return [handlers = std::move(handlers)](const http::Call& call, const http::Server::Respond& respond) {
+http::Server::Handler dispatch(std::vector<std::shared_ptr<Handler>> handlers) {
+  return [handlers = std::move(handlers)](const http::Request& call, const http::Server::Respond& respond) {
     try {
       for (const auto& h : handlers)
         if (h->handle(call, respond)) return;
--- a/src/system/registry/handlers.hpp
+++ b/src/system/registry/handlers.hpp
@@ -15,23 +15,23 @@
  public:
   virtual ~Handler() = default;
   // False: the call is not this resource's.
-  virtual bool handle(const http::Call& call, const http::Server::Respond& respond) = 0;
+  virtual bool handle(const http::Request& call, const http::Server::Respond& respond) = 0;
 };
 
 class Instances : public Handler {  // servers' beats and leaves
  public:
   explicit Instances(Registry& registry) : registry_(registry) {}
-  bool handle(const http::Call& call, const http::Server::Respond& respond) override;
+  bool handle(const http::Request& call, const http::Server::Respond& respond) override;
 
  private:
-  http::Answer acknowledge_end() const;
+  http::Response acknowledge_end() const;
   Registry& registry_;
 };
 
 class Configurations : public Handler {  // replace, patch, read
  public:
   explicit Configurations(Registry& registry) : registry_(registry) {}
-  bool handle(const http::Call& call, const http::Server::Respond& respond) override;
+  bool handle(const http::Request& call, const http::Server::Respond& respond) override;
 
  private:
   Registry& registry_;
@@ -40,7 +40,7 @@
 class Evacuations : public Handler {
  public:
   explicit Evacuations(Registry& registry) : registry_(registry) {}
-  bool handle(const http::Call& call, const http::Server::Respond& respond) override;
+  bool handle(const http::Request& call, const http::Server::Respond& respond) override;
 
  private:
   Registry& registry_;
@@ -49,7 +49,7 @@
 class Directory : public Handler {  // where clients go
  public:
   explicit Directory(Registry& registry) : registry_(registry) {}
-  bool handle(const http::Call& call, const http::Server::Respond& respond) override;
+  bool handle(const http::Request& call, const http::Server::Respond& respond) override;
 
  private:
   Registry& registry_;
@@ -59,13 +59,13 @@
 class EndingNode : public Handler {
  public:
   explicit EndingNode(const Registry& registry) : registry_(registry) {}
-  bool handle(const http::Call& call, const http::Server::Respond& respond) override;
+  bool handle(const http::Request& call, const http::Server::Respond& respond) override;
 
  private:
   const Registry& registry_;
 };
 
 // Hands a call to the first handler that takes it, 404 otherwise; no handler may throw past it.
-http::Server::Handle dispatch(std::vector<std::shared_ptr<Handler>> handlers);
+http::Server::Handler dispatch(std::vector<std::shared_ptr<Handler>> handlers);
 
 }  // namespace docklift
--- a/src/system/registry/registry.cpp
+++ b/src/system/registry/registry.cpp
@@ -30,13 +30,13 @@
       log_("registry"),
       follower_([this](const std::string& ip, fleet::Outgoing& out) { send_to_store(ip, out); },
                 [this](const std::string& note) { log_.info(note); }),
-      lease_(lease::Terms{}, settings.bind_ip, draw_life(), settings.bootstrap, clock_.now()),
+      lease_(lease::Terms{}, settings.bind_ip, new_incarnation(), settings.bootstrap, clock_.now()),
       counts_({settings.bounds.quota_win_s, settings.bounds.quota_excess, settings.bounds.quota_slack}),
       record_cache_(std::move(record_cache)),
       news_timer_(io.get_executor()),
       timer_(io.get_executor()) {
   self_.id = settings.hostname, self_.zone = settings.zone, self_.address = settings.bind_ip;
-  self_.role = fleet::Role::REGISTRY, self_.life = draw_life(), self_.ready = true;
+  self_.role = fleet::Role::REGISTRY, self_.life = new_incarnation(), self_.ready = true;
 }
 
 Registry::~Registry() {
@@ -339,7 +339,8 @@
   const auto linked = linked_voters();
   if (reaches_majority()) met_majority_ = true;
   lease_.observe_voters(now, {changes_.state().membership, voter_ips()}, confirmation_.at());
-  if (const auto request = lease_.tick(now, draw_life() / 1'000'000, linked)) send_lease_request(*request);
+  if (const auto request = lease_.tick(now, new_incarnation() / 1'000'000, linked))
+    send_lease_request(*request);
   check_lease();
 }
 
--- a/src/system/registry/registry.hpp
+++ b/src/system/registry/registry.hpp
@@ -55,10 +55,10 @@
   void heard(const fleet::Server& server);  // a beat or a leave
   // `done` with the verdict's status, its reason and position; 503 where no store answers in time.
   using Done = std::function<void(int status, const std::string& why, std::uint64_t position)>;
-  // `caller_gone` (may be null): whether the caller has closed its connection. An evacuation order is not sent to
+  // `client_disconnected` (may be null): whether the caller has closed its connection. An evacuation order is not sent to
   // a store, nor to a further one, once its caller is known to have gone or must have gone on to another node.
   void propose(configuration::ChangeKind kind, const std::string& text, Done done,
-               std::shared_ptr<const bool> caller_gone = nullptr);
+               std::shared_ptr<const bool> client_disconnected = nullptr);
   // `done` when the configuration here is at least at that position, or (false) when it takes too long.
   void when_at(std::uint64_t position, std::function<void(bool)> done);
 
@@ -82,7 +82,7 @@
     Time until{};
     std::string store;  // to which it was sent; empty: to none yet
     Time since{};
-    std::shared_ptr<const bool> caller_gone;  // null: not known
+    std::shared_ptr<const bool> client_disconnected;  // null: not known
   };
   void accepted(const std::shared_ptr<Link>& link);
   void on_frame(const std::shared_ptr<Link>& link, wire::Frame::Reader frame);
--- a/src/system/registry/registry_changes.cpp
+++ b/src/system/registry/registry_changes.cpp
@@ -78,10 +78,11 @@
 }
 
 void Registry::propose(configuration::ChangeKind kind, const std::string& text, Done done,
-                       std::shared_ptr<const bool> caller_gone) {
+                       std::shared_ptr<const bool> client_disconnected) {
   const auto call = ++calls_;
   const Time now = clock_.now();
-  auto& p = pending_[call] = {kind, text, std::move(done), now + kProposal, "", now, std::move(caller_gone)};
+  auto& p = pending_[call] = {
+      kind, text, std::move(done), now + kProposal, "", now, std::move(client_disconnected)};
   send_pending(call, p);
 }
 
@@ -90,7 +91,7 @@
 bool Registry::is_abandoned(const Pending& p) const {
   using configuration::ChangeKind;
   if (p.kind != ChangeKind::evacuate && p.kind != ChangeKind::readmit) return false;
-  const bool gone = p.caller_gone && *p.caller_gone;
+  const bool gone = p.client_disconnected && *p.client_disconnected;
   return gone || clock_.now() - p.since > kCallerPatience;
 }
 
--- a/src/system/store/store.cpp
+++ b/src/system/store/store.cpp
@@ -23,7 +23,7 @@
   o.lost_voters = std::move(lost_voters);
   o.chance = drawn();
   // With the time of day: no earlier disk of this machine has the same.
-  o.new_disk = std::max<std::uint64_t>(mix(drawn() ^ draw_life()), configuration::kBootstrapDisk + 1);
+  o.new_disk = std::max<std::uint64_t>(mix(drawn() ^ new_incarnation()), configuration::kBootstrapDisk + 1);
   return o;
 }
 
--- a/standins/system/server.hpp
+++ b/standins/system/server.hpp
@@ -20,12 +20,14 @@
   std::uint64_t connection = 0;  // 1, 2, ...: on which it came
   std::string field(std::string_view name) const {
     http::Head h;
-    if (http::read_request(head, head.size(), h).read != http::Read::done) return {};
+    if (http::parse_request_head(head, head.size(), h).status != http::ParseStatus::complete) return {};
     return std::string(h.only(name).value_or(""));
   }
   std::string target() const {
     http::Head h;
-    return http::read_request(head, head.size(), h).read == http::Read::done ? std::string(h.target) : "";
+    return http::parse_request_head(head, head.size(), h).status == http::ParseStatus::complete
+               ? std::string(h.target)
+               : "";
   }
 };
 
@@ -56,9 +58,9 @@
   }
   // Answers that are still held hold their sessions, and those this list.
   ~Server() { const auto let_go = std::exchange(*held_, {}); }
-  std::vector<Seen>& seen() { return *seen_; }
+  std::vector<Seen>& requests() { return *seen_; }
   // How many callers have closed their connection while their answer was held.
-  std::size_t left() const { return *left_; }
+  std::size_t disconnected_clients() const { return *left_; }
   void release() {
     for (const auto& go_on : std::exchange(*held_, {})) go_on();
   }
@@ -83,8 +85,8 @@
     }
     void take() {
       http::Head h;
-      const auto r = http::read_request(in, 65536, h);
-      if (r.read != http::Read::done) return read();
+      const auto r = http::parse_request_head(in, 65536, h);
+      if (r.status != http::ParseStatus::complete) return read();
       const auto length = static_cast<std::size_t>(
           http::number(h.only("Content-Length").value_or("0")).value_or(0));
       if (in.size() < r.used + length) return read();
--- a/tests/system/departed_clients_test.cpp
+++ b/tests/system/departed_clients_test.cpp
@@ -236,9 +236,9 @@
   ServingFleet f;
   Client client(f, 4, request_to("/a/hold", "left"));
   BOOST_REQUIRE(f.reaches_server("/a/hold"));
-  client.leave();
-  BOOST_TEST(f.until([&] { return f.server.left() == 1; }, kSoon));
-  BOOST_TEST(f.ask(4, "/a/x").status == 200);
+  client.disconnect();
+  BOOST_TEST(f.until([&] { return f.server.disconnected_clients() == 1; }, kSoon));
+  BOOST_TEST(f.send_request(4, "/a/x").status == 200);
 }
 
 BOOST_AUTO_TEST_CASE(given_requests_behind_each_other_when_their_client_leaves_then_all_are_ended) {
@@ -246,8 +246,8 @@
   Client client(f, 4, request_to("/a/1/hold", "p1") + request_to("/a/2/hold", "p2"));
   BOOST_REQUIRE(f.reaches_server("/a/1/hold"));
   BOOST_REQUIRE(f.reaches_server("/a/2/hold"));
-  client.leave();
-  BOOST_TEST(f.until([&] { return f.server.left() == 2; }, kSoon));
+  client.disconnect();
+  BOOST_TEST(f.until([&] { return f.server.disconnected_clients() == 2; }, kSoon));
 }
 
 BOOST_AUTO_TEST_CASE(given_work_that_may_not_repeat_at_a_server_when_its_client_leaves_then_it_goes_on) {
@@ -257,22 +257,22 @@
       R"({"name":"r2","kind":"mutating","target_ms":20000,"match":{"pfx":"/m/"},)"
       R"("action":{"svc":"alpha","tmo_ms":20000,"tries":2}}]}]}})";
   BOOST_REQUIRE(f.post(f.ctl(1), "/Config.Patch", patch).status == 200);
-  BOOST_REQUIRE(f.until([&] { return f.ask(4, "/m/x").status == 200; }));
+  BOOST_REQUIRE(f.until([&] { return f.send_request(4, "/m/x").status == 200; }));
   Client client(f, 4, request_to("/m/hold", "goes-on"));
   BOOST_REQUIRE(f.reaches_server("/m/hold"));
-  client.leave();
-  BOOST_TEST(f.ask(4, "/a/x").status == 200);  // the close was there before this request
-  BOOST_TEST(f.server.left() == 0u);
+  client.disconnect();
+  BOOST_TEST(f.send_request(4, "/a/x").status == 200);  // the close was there before this request
+  BOOST_TEST(f.server.disconnected_clients() == 0u);
   f.server.release();
-  BOOST_TEST(f.ask(4, "/m/x").status == 200);
-  BOOST_TEST(f.server.left() == 0u);
+  BOOST_TEST(f.send_request(4, "/m/x").status == 200);
+  BOOST_TEST(f.server.disconnected_clients() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(given_a_close_right_behind_a_request_when_both_are_read_late_then_no_server_sees_it) {
   ServingFleet f;
   // Some of them have a unit at once. The proxy does not run meanwhile.
   for (int i = 0; i < 20; ++i) Client(f, 4, request_to("/a/late", "late" + std::to_string(i))).leave();
-  for (int i = 0; i < 5; ++i) BOOST_TEST(f.ask(4, "/a/x").status == 200);
+  for (int i = 0; i < 5; ++i) BOOST_TEST(f.send_request(4, "/a/x").status == 200);
   BOOST_TEST(!f.has_reached_server("/a/late"));
 }
 
@@ -283,12 +283,12 @@
     requests += request_to("/a/hold", "b" + std::to_string(i));
   Client client(f, 4, requests);
   const auto held = [&] {
-    return std::ranges::count_if(f.server.seen(),
+    return std::ranges::count_if(f.server.requests(),
                                  [](const auto& seen) { return seen.target() == "/a/hold"; });
   };
   BOOST_REQUIRE(f.until([&] { return held() == 10; }));  // 2.5 times its slots; others wait for a place
-  client.leave();
-  BOOST_TEST(f.until([&] { return f.server.left() == 10; }, kSoon));
+  client.disconnect();
+  BOOST_TEST(f.until([&] { return f.server.disconnected_clients() == 10; }, kSoon));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/drain_test.cpp
+++ b/tests/system/drain_test.cpp
@@ -131,7 +131,7 @@
   explicit DrainSoak(std::uint64_t seed) : seed_(seed), random_(seed) {
     for (int i = 0; i < kClients; ++i) {
       clients_.push_back({std::make_unique<Client>(fleet_, 4, request_to("/a/x", name(i, 0)))});
-      clients_.back().client->listen();
+      clients_.back().client->start_reading();
     }
     BOOST_REQUIRE(fleet_.until([&] { return std::ranges::all_of(clients_, is_answered); }));
     for (auto& one : clients_) one.speaks_at = by_chance(kGrace);
@@ -185,7 +185,7 @@
   }
   // What a server has got has an answer, its own or the proxy's.
   void check(std::size_t i) {
-    const auto passed_on = std::ranges::count_if(fleet_.server.seen(), [&](const auto& seen) {
+    const auto passed_on = std::ranges::count_if(fleet_.server.requests(), [&](const auto& seen) {
       return seen.field("Attempt-Id").starts_with("c" + std::to_string(i) + "-");
     });
     BOOST_TEST(answers(clients_[i]) >= static_cast<std::size_t>(passed_on),
@@ -203,7 +203,7 @@
 BOOST_AUTO_TEST_CASE(given_a_kept_connection_when_a_request_comes_early_in_the_drain_then_it_is_served_last) {
   DrainingFleet f;
   Client client(f, 4, request_to("/a/x", "before"));
-  client.listen();
+  client.start_reading();
   BOOST_REQUIRE(f.until([&] { return client.received_answer_to("before"); }));
   f.begin_drain();
   client.send(request_to("/a/x", "early"));
@@ -216,7 +216,7 @@
 BOOST_AUTO_TEST_CASE(given_a_kept_connection_when_a_request_comes_late_in_the_drain_then_no_server_gets_it) {
   DrainingFleet f;
   Client client(f, 4, request_to("/a/x", "early"));
-  client.listen();
+  client.start_reading();
   BOOST_REQUIRE(f.until([&] { return client.received_answer_to("early"); }));
   f.begin_drain();
   f.run_until(kGrace * 11 / 20);
@@ -230,7 +230,7 @@
 BOOST_AUTO_TEST_CASE(given_an_answer_behind_a_longer_request_when_the_grace_ends_then_its_client_has_it) {
   DrainingFleet f;
   Client client(f, 4, request_to("/a/long/hold", "long") + request_to("/a/short", "short"));
-  client.listen();
+  client.start_reading();
   BOOST_REQUIRE(f.reaches_server("/a/long/hold"));
   BOOST_REQUIRE(f.reaches_server("/a/short"));
   f.begin_drain();
@@ -321,7 +321,7 @@
   DrainingFleet f;
   f.begin_drain();
   Client client(f, 4, request_to("/a/1/hold", "first") + request_to("/a/2", "second"));
-  client.listen();
+  client.start_reading();
   BOOST_REQUIRE(f.reaches_server("/a/1/hold"));
   f.server.release();
   BOOST_TEST(f.until([&] { return client.closed(); }));
@@ -332,7 +332,7 @@
 BOOST_AUTO_TEST_CASE(given_nothing_open_when_the_drain_accepts_no_more_then_it_ends_early) {
   DrainingFleet f;
   Client kept(f, 4, request_to("/a/x", "kept"));
-  kept.listen();
+  kept.start_reading();
   BOOST_REQUIRE(f.until([&] { return kept.received_answer_to("kept"); }));
   f.begin_drain();
   BOOST_TEST(f.until([&] { return f.ended; }, kGrace * 2 / 3));
@@ -342,13 +342,13 @@
 BOOST_AUTO_TEST_CASE(given_work_to_the_end_of_the_grace_then_its_client_is_told_before_the_kill) {
   DrainingFleet f;
   Client client(f, 4, request_to("/a/long/hold", "long"));
-  client.listen();
+  client.start_reading();
   BOOST_REQUIRE(f.reaches_server("/a/long/hold"));
   f.begin_drain();
   // An upload that stays half read does not hold the process.
   Client upload(f, 4,
                 "GET /a/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: half\r\nContent-Length: 9\r\n\r\nhalf");
-  upload.listen();
+  upload.start_reading();
   BOOST_TEST(f.ends_within_grace());
   BOOST_TEST(f.until([&] { return client.closed() && upload.closed(); }));
   BOOST_TEST(client.received().starts_with("HTTP/1.1 504 "));
@@ -359,7 +359,7 @@
   ServingFleet f;
   bool ended = false;
   f.registries[0]->stop([&] { ended = true; });
-  BOOST_TEST(f.beat("i-1", 0, "draining").status == 503);  // at the first core machine
+  BOOST_TEST(f.heartbeat("i-1", 0, "draining").status == 503);  // at the first core machine
   BOOST_TEST(f.until([&] { return ended; }));
 }
 
@@ -368,7 +368,7 @@
   ServingFleet f;
   bool ended = false;
   int status = 0;
-  f.registries[0]->propose(configuration::ChangeKind::replace, wide_body(4, 3),
+  f.registries[0]->propose(configuration::ChangeKind::replace, high_quota_config(4, 3),
                            [&](int answer, const std::string&, std::uint64_t) { status = answer; });
   f.registries[0]->stop([&] { ended = true; });
   BOOST_TEST(f.until([&] { return ended; }));
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -51,17 +51,19 @@
        {"GET /a HTTP/1.1\r\nHost : x\r\n\r\n", "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n",
         "GET  /a HTTP/1.1\r\n\r\n", "GET /a HTTP/1.1\nHost: x\r\n\r\n", "GET a HTTP/1.1\r\n\r\n",
         "GET /a HTTP/2.0\r\n\r\n", "G\x01T /a HTTP/1.1\r\n\r\n", "GET /a HTTP/1.1\r\nA: b\rc\r\n\r\n"})
-    BOOST_TEST((http::read_request(text, 1000, h).read == http::Read::bad), text);
-  BOOST_TEST((http::read_request("GET /a HTTP/1.1\r\nHost: x\r\n", 1000, h).read == http::Read::more));
-  BOOST_TEST((http::read_request(std::string(2000, 'a'), 1000, h).read == http::Read::too_long));
+    BOOST_TEST((http::parse_request_head(text, 1000, h).status == http::ParseStatus::malformed), text);
+  BOOST_TEST((http::parse_request_head("GET /a HTTP/1.1\r\nHost: x\r\n", 1000, h).status ==
+              http::ParseStatus::incomplete));
+  BOOST_TEST(
+      (http::parse_request_head(std::string(2000, 'a'), 1000, h).status == http::ParseStatus::too_long));
   const std::string two = "GET /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n";
-  BOOST_REQUIRE((http::read_request(two, 1000, h).read == http::Read::done));
-  BOOST_TEST(!http::body_of(h).has_value());
+  BOOST_REQUIRE((http::parse_request_head(two, 1000, h).status == http::ParseStatus::complete));
+  BOOST_TEST(!http::request_body_kind(h).has_value());
   const std::string both = "POST /a HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n";
-  BOOST_REQUIRE((http::read_request(both, 1000, h).read == http::Read::done));
-  BOOST_TEST(!http::body_of(h).has_value());
-  BOOST_TEST((http::read_answer("noise", 1000, h).read == http::Read::bad));
-  BOOST_TEST((http::read_answer("HTT", 1000, h).read == http::Read::more));
+  BOOST_REQUIRE((http::parse_request_head(both, 1000, h).status == http::ParseStatus::complete));
+  BOOST_TEST(!http::request_body_kind(h).has_value());
+  BOOST_TEST((http::parse_response_head("noise", 1000, h).status == http::ParseStatus::malformed));
+  BOOST_TEST((http::parse_response_head("HTT", 1000, h).status == http::ParseStatus::incomplete));
 }
 
 BOOST_AUTO_TEST_CASE(given_a_query_when_a_value_is_asked_for_then_it_is_decoded) {
--- a/tests/system/path_fleet.hpp
+++ b/tests/system/path_fleet.hpp
@@ -23,7 +23,7 @@
 }
 
 // With a quota that the polling of these tests stays inside.
-inline std::string wide_body(std::uint64_t version, std::uint64_t parent) {
+inline std::string high_quota_config(std::uint64_t version, std::uint64_t parent) {
   auto body = config_body(version, parent);
   const std::string narrow = R"("per_s":10,"burst":10)";
   body.replace(body.find(narrow), narrow.size(), R"("per_s":5000,"burst":5000)");
@@ -95,8 +95,8 @@
         while (true) {
           http::Head h;
           const auto rest = std::string_view(c.text).substr(taken);
-          const auto r = http::read_answer(rest, 65536, h);
-          if (r.read != http::Read::done) break;
+          const auto r = http::parse_response_head(rest, 65536, h);
+          if (r.status != http::ParseStatus::complete) break;
           const auto length = static_cast<std::size_t>(
               http::number(h.only("Content-Length").value_or("0")).value_or(0));
           if (rest.size() < r.used + length) break;
@@ -130,12 +130,13 @@
   Call get(const std::string& address, const std::string& path) {
     return call(address, "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
   }
-  Call ask(int proxy, const std::string& path, const std::string& key = "k1", const std::string& more = "") {
+  Call send_request(int proxy, const std::string& path, const std::string& key = "k1",
+                    const std::string& more = "") {
     return call(http(proxy),
                 "GET " + path + " HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: id" + std::to_string(++ids_) +
                     "\r\nDeadline: 9000\r\nTenant: forged\r\nKey: " + key + "\r\n" + more + "\r\n");
   }
-  Call beat(const std::string& id, int n, const std::string& phase = "ready") {
+  Call heartbeat(const std::string& id, int n, const std::string& phase = "ready") {
     return post(ctl(1 + n % 3), "/Instances.Heartbeat/" + id,
                 R"({"svc":"alpha","addr":")" + server(n) + R"(","az":"z1","gen":"v1","cap":4,"phase":")" +
                     phase + R"(","warm_left_ms":0,"calls":)" + std::to_string(++beats_) + "}");
--- a/tests/system/process_fleet.cpp
+++ b/tests/system/process_fleet.cpp
@@ -235,11 +235,11 @@
         asio::buffer(exchange->piece), [exchange, again](const error_code& failed, std::size_t bytes) {
           exchange->in.append(exchange->piece.data(), bytes);
           http::Head head;
-          const auto got = http::read_answer(exchange->in, kHeadBytes, head);
-          const auto length = got.read == http::Read::done
+          const auto got = http::parse_response_head(exchange->in, kHeadBytes, head);
+          const auto length = got.status == http::ParseStatus::complete
                                   ? http::number(head.only("Content-Length").value_or("0")).value_or(0)
                                   : 0;
-          if (got.read == http::Read::done && exchange->in.size() >= got.used + length) {
+          if (got.status == http::ParseStatus::complete && exchange->in.size() >= got.used + length) {
             exchange->answer = {head.status, exchange->in.substr(got.used, length)};
             exchange->ended = true;
             return;
--- a/tests/system/serving_fleet.hpp
+++ b/tests/system/serving_fleet.hpp
@@ -20,13 +20,13 @@
     boost::system::error_code broken;  // the proxy may have closed
     asio::write(socket_, asio::buffer(requests), broken);
   }
-  void leave() { snowknot::close_now(socket_); }
+  void disconnect() { snowknot::close_now(socket_); }
   // From here on, answers are read; the client must outlive the loop's turns.
-  void listen() {
+  void start_reading() {
     socket_.async_read_some(asio::buffer(chunk_), [this](boost::system::error_code failed, std::size_t n) {
       received_.append(chunk_.data(), n);
       if (failed) return void(closed_ = true);
-      listen();
+      start_reading();
     });
   }
   const std::string& received() const { return received_; }
@@ -55,15 +55,16 @@
           reply.hold = seen.target().ends_with("hold");
           return reply;
         }) {
-    BOOST_REQUIRE(until([&] { return post(ctl(1), "/Config.Replace", wide_body(3, 0)).status == 200; }));
-    BOOST_REQUIRE(beat("i-1", 0).status == 200);
-    BOOST_REQUIRE(until([&] { return ask(4, "/a/x").status == 200; }));
+    BOOST_REQUIRE(
+        until([&] { return post(ctl(1), "/Config.Replace", high_quota_config(3, 0)).status == 200; }));
+    BOOST_REQUIRE(heartbeat("i-1", 0).status == 200);
+    BOOST_REQUIRE(until([&] { return send_request(4, "/a/x").status == 200; }));
   }
   bool reaches_server(const std::string& path) {
     return until([&] { return has_reached_server(path); });
   }
   bool has_reached_server(const std::string& path) {
-    return std::ranges::any_of(server.seen(), [&](const auto& seen) { return seen.target() == path; });
+    return std::ranges::any_of(server.requests(), [&](const auto& seen) { return seen.target() == path; });
   }
   standin::Server server;
 };
