--- a/tests/system/departed_clients_test.cpp
+++ b/tests/system/departed_clients_test.cpp
@@ -271,7 +271,7 @@
 BOOST_AUTO_TEST_CASE(given_a_close_right_behind_a_request_when_both_are_read_late_then_no_server_sees_it) {
   ServingFleet f;
   // Some of them have a unit at once. The proxy does not run meanwhile.
-  for (int i = 0; i < 20; ++i) Client(f, 4, request_to("/a/late", "late" + std::to_string(i))).leave();
+  for (int i = 0; i < 20; ++i) Client(f, 4, request_to("/a/late", "late" + std::to_string(i))).disconnect();
   for (int i = 0; i < 5; ++i) BOOST_TEST(f.send_request(4, "/a/x").status == 200);
   BOOST_TEST(!f.has_reached_server("/a/late"));
 }
