--- a/src/system/http/head.cpp
+++ b/src/system/http/head.cpp
@@ -9,7 +9,7 @@
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
 
-constexpr std::array<bool, 256> token_chars() {
+constexpr std::array<bool, 256> token_characters() {
   std::array<bool, 256> t{};
   for (const char c : std::string_view("!#$%&'*+-.^_`|~")) t[static_cast<unsigned char>(c)] = true;
   for (int c = '0'; c <= '9'; ++c) t[static_cast<std::size_t>(c)] = true;
@@ -17,16 +17,17 @@
   for (int c = 'A'; c <= 'Z'; ++c) t[static_cast<std::size_t>(c)] = true;
   return t;
 }
-constexpr auto kToken = token_chars();
+constexpr auto kTokenCharacters = token_characters();
 
 bool is_token(std::string_view s) {
-  return !s.empty() && std::ranges::all_of(s, [](char c) { return kToken[static_cast<unsigned char>(c)]; });
+  return !s.empty() &&
+         std::ranges::all_of(s, [](char c) { return kTokenCharacters[static_cast<unsigned char>(c)]; });
 }
-bool visible(std::string_view s) {
+bool is_visible(std::string_view s) {
   return !s.empty() && std::ranges::all_of(s, [](char c) { return c > ' ' && c != 0x7f; });
 }
 
-std::optional<int> minor_of(std::string_view version) {
+std::optional<int> minor_version(std::string_view version) {
   if (version == "HTTP/1.1") return 1;
   if (version == "HTTP/1.0") return 0;
   return std::nullopt;
@@ -49,7 +50,7 @@
   return true;
 }
 
-// The end of a head in the text, or how reading it stands.
+// Finds the end of a head in the text.
 ParseResult find_end(std::string_view text, std::size_t skipped, std::size_t limit) {
   const auto end = text.find("\r\n\r\n", skipped);
   if (end == std::string_view::npos)
@@ -66,15 +67,15 @@
   return s;
 }
 
-bool same(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
-std::optional<std::string_view> Head::only(std::string_view name) const {
+std::optional<std::string_view> Head::unique(std::string_view name) const {
   std::optional<std::string_view> found;
   for (const auto& f : fields) {
-    if (!same(f.name, name)) continue;
+    if (!equals_ignore_case(f.name, name)) continue;
     if (found) return std::nullopt;
     found = f.value;
   }
@@ -82,16 +83,16 @@
 }
 
 bool Head::has(std::string_view name) const {
-  return std::ranges::any_of(fields, [&](const Field& f) { return same(f.name, name); });
+  return std::ranges::any_of(fields, [&](const Field& f) { return equals_ignore_case(f.name, name); });
 }
 
-bool Head::lists(std::string_view name, std::string_view word) const {
+bool Head::has_token(std::string_view name, std::string_view token) const {
   for (const auto& f : fields) {
-    if (!same(f.name, name)) continue;
+    if (!equals_ignore_case(f.name, name)) continue;
     auto rest = f.value;
     while (!rest.empty()) {
       const auto comma = rest.find(',');
-      if (same(trimmed(rest.substr(0, comma)), word)) return true;
+      if (equals_ignore_case(trimmed(rest.substr(0, comma)), token)) return true;
       rest = comma == std::string_view::npos ? std::string_view() : rest.substr(comma + 1);
     }
   }
@@ -99,8 +100,8 @@
 }
 
 bool Head::keeps_alive() const {
-  if (lists("Connection", "close")) return false;
-  return minor == 1 || lists("Connection", "keep-alive");
+  if (has_token("Connection", "close")) return false;
+  return minor == 1 || has_token("Connection", "keep-alive");
 }
 
 ParseResult parse_request_head(std::string_view text, std::size_t limit, Head& head) {
@@ -108,7 +109,7 @@
   while (text.substr(skipped).starts_with("\r\n")) skipped += 2;
   const auto found = find_end(text, skipped, limit);
   if (found.status != ParseStatus::complete) return found;
-  const auto all = text.substr(skipped, found.used - skipped - 2);
+  const auto all = text.substr(skipped, found.consumed - skipped - 2);
   const auto line_end = all.find("\r\n");
   const auto line = all.substr(0, line_end);
   const auto first = line.find(' ');
@@ -116,8 +117,8 @@
   if (first == std::string_view::npos || first == last) return {ParseStatus::malformed, 0};
   head = {};
   head.method = line.substr(0, first), head.target = line.substr(first + 1, last - first - 1);
-  const auto minor = minor_of(line.substr(last + 1));
-  if (!minor || !is_token(head.method) || !visible(head.target) || head.target.front() != '/')
+  const auto minor = minor_version(line.substr(last + 1));
+  if (!minor || !is_token(head.method) || !is_visible(head.target) || head.target.front() != '/')
     return {ParseStatus::malformed, 0};
   head.minor = *minor;
   if (!read_fields(all.substr(line_end + 2), head)) return {ParseStatus::malformed, 0};
@@ -127,17 +128,17 @@
 ParseResult parse_response_head(std::string_view text, std::size_t limit, Head& head) {
   const auto found = find_end(text, 0, limit);
   if (found.status != ParseStatus::complete) {
-    // Bytes that can't begin an answer are told at once.
-    const auto begin = text.substr(0, 7);
-    if (!std::string_view("HTTP/1.").starts_with(begin)) return {ParseStatus::malformed, 0};
+    // Bytes that can't begin a response are rejected without waiting for more.
+    const auto prefix = text.substr(0, 7);
+    if (!std::string_view("HTTP/1.").starts_with(prefix)) return {ParseStatus::malformed, 0};
     return found;
   }
-  const auto all = text.substr(0, found.used - 2);
+  const auto all = text.substr(0, found.consumed - 2);
   const auto line_end = all.find("\r\n");
   const auto line = all.substr(0, line_end);
   if (line.size() < 12 || line[8] != ' ' || (line.size() > 12 && line[12] != ' '))
     return {ParseStatus::malformed, 0};
-  const auto minor = minor_of(line.substr(0, 8));
+  const auto minor = minor_version(line.substr(0, 8));
   const auto digits = line.substr(9, 3);
   if (!minor || digits.find_first_not_of("0123456789") != std::string_view::npos)
     return {ParseStatus::malformed, 0};
@@ -149,25 +150,25 @@
 }
 
 namespace {
-std::optional<stream::BodyKind> told(const Head& head) {
+std::optional<stream::BodyKind> declared_body_kind(const Head& head) {
   std::vector<std::string_view> lengths;
   std::vector<std::string_view> codings;
   for (const auto& f : head.fields) {
-    if (same(f.name, "Content-Length")) lengths.push_back(f.value);
-    if (same(f.name, "Transfer-Encoding")) codings.push_back(f.value);
+    if (equals_ignore_case(f.name, "Content-Length")) lengths.push_back(f.value);
+    if (equals_ignore_case(f.name, "Transfer-Encoding")) codings.push_back(f.value);
   }
   return stream::body_kind(lengths, codings);
 }
 }  // namespace
 
 std::optional<stream::BodyKind> request_body_kind(const Head& head) {
-  const auto kind = told(head);
+  const auto kind = declared_body_kind(head);
   if (kind && kind->coding == stream::Coding::chunked && head.minor == 0) return std::nullopt;
   return kind;
 }
 
 std::optional<ResponseBody> response_body(const Head& head, std::string_view method) {
-  const auto kind = told(head);
+  const auto kind = declared_body_kind(head);
   if (!kind) return std::nullopt;
   ResponseBody b{*kind};
   b.none = method == "HEAD" || head.status == 204 || head.status == 304 || head.status < 200;
@@ -176,25 +177,25 @@
   return b;
 }
 
-std::optional<double> number(std::string_view text) {
+std::optional<double> parse_decimal(std::string_view text) {
   double n = 0;
   if (text.empty() || text.find_first_not_of("0123456789.") != std::string_view::npos) return std::nullopt;
-  const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), n,
-                                             std::chars_format::fixed);
-  if (failed != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n,
+                                            std::chars_format::fixed);
+  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
   return n;
 }
 
-bool is_hop(std::string_view name, const Head& head) {
-  static constexpr std::string_view hops[] = {
+bool is_hop_by_hop(std::string_view name, const Head& head) {
+  static constexpr std::string_view kHopByHopFields[] = {
       "Connection",     "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer", "Upgrade",
       "Content-Length", "Expect"};
-  for (const auto h : hops)
-    if (same(name, h)) return true;
-  return head.lists("Connection", name);
+  for (const auto field : kHopByHopFields)
+    if (equals_ignore_case(name, field)) return true;
+  return head.has_token("Connection", name);
 }
 
-std::string_view reason(int status) {
+std::string_view reason_phrase(int status) {
   switch (status) {
     case 200: return "OK";
     case 307: return "Temporary Redirect";
@@ -220,12 +221,12 @@
   if (mark == std::string_view::npos) return {};
   auto rest = target.substr(mark + 1);
   while (!rest.empty()) {
-    const auto part = rest.substr(0, rest.find('&'));
-    rest.remove_prefix(std::min(rest.size(), part.size() + 1));
-    const auto eq = part.find('=');
-    if (part.substr(0, eq) != name || eq == std::string_view::npos) continue;
+    const auto parameter = rest.substr(0, rest.find('&'));
+    rest.remove_prefix(std::min(rest.size(), parameter.size() + 1));
+    const auto eq = parameter.find('=');
+    if (parameter.substr(0, eq) != name || eq == std::string_view::npos) continue;
     std::string out;
-    const auto text = part.substr(eq + 1);
+    const auto text = parameter.substr(eq + 1);
     for (std::size_t i = 0; i < text.size(); ++i) {
       unsigned code = 0;
       if (text[i] == '%' && i + 2 < text.size() &&
--- a/src/system/http/server.cpp
+++ b/src/system/http/server.cpp
@@ -9,135 +9,144 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
+// A client's connection.
 struct Server::Session : std::enable_shared_from_this<Session> {
-  Session(Server& owner, Socket s) : server(&owner), socket(std::move(s)), timer(socket.get_executor()) {}
+  Session(Server& owner, Socket connection)
+      : server(&owner), socket(std::move(connection)), timer(socket.get_executor()) {}
 
-  // The next call, of which nothing or a part has been read.
+  // Reads more of the next request.
   void read() {
-    arm(in.empty() ? server->limits_.idle : server->limits_.whole);
-    const auto had = in.size();
-    in.resize(had + (want > had ? std::min<std::size_t>(want - had, 1u << 20) : 4096));
-    socket.async_read_some(asio::buffer(in.data() + had, in.size() - had),
-                           [self = shared_from_this(), had](error_code failed, std::size_t n) {
-                             self->in.resize(had + n);
-                             if (failed || !self->server) return self->end();
-                             self->take();
+    arm_timer(input.empty() ? server->limits_.idle_timeout : server->limits_.io_timeout);
+    const auto old_size = input.size();
+    input.resize(old_size + (expected_size > old_size
+                                 ? std::min<std::size_t>(expected_size - old_size, 1u << 20)
+                                 : 4096));
+    socket.async_read_some(asio::buffer(input.data() + old_size, input.size() - old_size),
+                           [self = shared_from_this(), old_size](error_code error, std::size_t bytes) {
+                             self->input.resize(old_size + bytes);
+                             if (error || !self->server) return self->close();
+                             self->process_input();
                            });
   }
 
-  // One whole call of what was read.
-  void take() {
+  // Dispatches the next request once it has been read completely.
+  void process_input() {
     Head head;
-    const auto r = parse_request_head(in, server->limits_.head_bytes, head);
-    if (r.status == ParseStatus::incomplete) return read();
-    if (r.status != ParseStatus::complete)
-      return answer({r.status == ParseStatus::malformed ? 400 : 431, ""}, false);
+    const auto parsed = parse_request_head(input, server->limits_.max_head_bytes, head);
+    if (parsed.status == ParseStatus::incomplete) return read();
+    if (parsed.status != ParseStatus::complete)
+      return respond({parsed.status == ParseStatus::malformed ? 400 : 431, ""}, false);
     const auto kind = request_body_kind(head);
-    if (!kind) return answer({400, ""}, false);
-    if (kind->coding == stream::Coding::length && kind->length > server->limits_.body_bytes)
-      return answer({413, ""}, false);
-    Request call{std::string(head.method), std::string(head.target), "", client_disconnected};
+    if (!kind) return respond({400, ""}, false);
+    if (kind->coding == stream::Coding::length && kind->length > server->limits_.max_body_bytes)
+      return respond({413, ""}, false);
+    Request request{std::string(head.method), std::string(head.target), "", client_disconnected};
     stream::BodyDecoder decoder(*kind);
-    std::string_view rest = std::string_view(in).substr(r.used);
+    std::string_view rest = std::string_view(input).substr(parsed.consumed);
     if (kind->coding == stream::Coding::length && rest.size() < kind->length) {
-      want = r.used + kind->length;
+      expected_size = parsed.consumed + kind->length;
       return read();
     }
     while (!decoder.done()) {
       const auto step = decoder.next(rest);
-      if (step.status == stream::BodyDecoder::Status::bad) return answer({400, ""}, false);
-      call.body.append(step.data);
+      if (step.status == stream::BodyDecoder::Status::bad) return respond({400, ""}, false);
+      request.body.append(step.data);
       rest.remove_prefix(step.used);
-      if (call.body.size() > server->limits_.body_bytes) return answer({413, ""}, false);
+      if (request.body.size() > server->limits_.max_body_bytes) return respond({413, ""}, false);
       if (step.status == stream::BodyDecoder::Status::more) return read();
     }
-    const bool keep = head.keeps_alive();
-    in.erase(0, in.size() - rest.size());
-    want = 0;
+    const bool keep_alive = head.keeps_alive();
+    input.erase(0, input.size() - rest.size());
+    expected_size = 0;
     timer.cancel();
-    answering = true;
-    watch_caller();
-    // In a turn of its own: a close that came with the call is seen before.
-    asio::post(socket.get_executor(), [self = shared_from_this(), call = std::move(call), keep] {
-      if (self->server) self->hand_over(call, keep);
+    responding = true;
+    watch_for_disconnect();
+    // Deferred, so that a close that arrived together with the request is seen first.
+    asio::post(socket.get_executor(), [self = shared_from_this(), request = std::move(request), keep_alive] {
+      if (self->server) self->dispatch(request, keep_alive);
     });
   }
 
-  void hand_over(const Request& call, bool keep) {
-    server->handle_(call, [weak = weak_from_this(), keep, done = false](const Response& a) mutable {
-      if (std::exchange(done, true)) return;
-      if (const auto self = weak.lock(); self && self->server) self->answer(a, keep);
-    });
+  void dispatch(const Request& request, bool keep_alive) {
+    server->handler_(request,
+                     [weak = weak_from_this(), keep_alive, done = false](const Response& response) mutable {
+                       if (std::exchange(done, true)) return;
+                       if (const auto self = weak.lock(); self && self->server)
+                         self->respond(response, keep_alive);
+                     });
   }
 
-  // The read for the next call begins before the answer to this one: it shows a caller that goes.
-  void watch_caller() {
-    if (!in.empty()) return;  // a further call waits; it is taken behind the answer
-    watching = true;
-    socket.async_read_some(asio::buffer(ahead),
-                           [self = shared_from_this()](error_code failed, std::size_t n) {
-                             self->watching = false;
+  // Starts the read for the next request before the response to this one, to notice a client that
+  // disconnects.
+  void watch_for_disconnect() {
+    if (!input.empty()) return;  // another request is already buffered; it is processed after the response
+    reading_ahead = true;
+    socket.async_read_some(asio::buffer(read_ahead),
+                           [self = shared_from_this()](error_code error, std::size_t bytes) {
+                             self->reading_ahead = false;
                              if (!self->server) return;
-                             self->in.append(self->ahead.data(), n);
-                             if (failed) *self->client_disconnected = true;
-                             if (!self->answering) self->next();
+                             self->input.append(self->read_ahead.data(), bytes);
+                             if (error) *self->client_disconnected = true;
+                             if (!self->responding) self->read_next();
                            });
   }
 
-  // After an answer.
-  void next() {
-    if (watching) return arm(server->limits_.idle);
-    if (*client_disconnected) return end();
-    if (in.empty()) return read();
-    take();
+  // Continues after a response.
+  void read_next() {
+    if (reading_ahead) return arm_timer(server->limits_.idle_timeout);
+    if (*client_disconnected) return close();
+    if (input.empty()) return read();
+    process_input();
   }
 
-  void answer(const Response& a, bool keep) {
-    out = "HTTP/1.1 " + std::to_string(a.status) + " " + std::string(reason(a.status)) + "\r\n";
-    if (!a.body.empty()) out += "Content-Type: application/json\r\n";
-    if (a.retry_after_s > 0) out += "Retry-After: " + std::to_string(a.retry_after_s).substr(0, 5) + "\r\n";
-    if (!keep) out += "Connection: close\r\n";
-    out += "Content-Length: " + std::to_string(a.body.size()) + "\r\n\r\n" + a.body;
-    arm(server->limits_.whole);
-    asio::async_write(socket, asio::buffer(out),
-                      [self = shared_from_this(), keep](error_code failed, std::size_t) {
-                        if (failed || !keep || !self->server) return self->end();
-                        self->answering = false;
-                        self->next();
+  void respond(const Response& response, bool keep_alive) {
+    output = "HTTP/1.1 " + std::to_string(response.status) + " " +
+             std::string(reason_phrase(response.status)) + "\r\n";
+    if (!response.body.empty()) output += "Content-Type: application/json\r\n";
+    if (response.retry_after_s > 0)
+      output += "Retry-After: " + std::to_string(response.retry_after_s).substr(0, 5) + "\r\n";
+    if (!keep_alive) output += "Connection: close\r\n";
+    output += "Content-Length: " + std::to_string(response.body.size()) + "\r\n\r\n" + response.body;
+    arm_timer(server->limits_.io_timeout);
+    asio::async_write(socket, asio::buffer(output),
+                      [self = shared_from_this(), keep_alive](error_code error, std::size_t) {
+                        if (error || !keep_alive || !self->server) return self->close();
+                        self->responding = false;
+                        self->read_next();
                       });
   }
 
-  void arm(Duration limit) {
+  void arm_timer(Duration limit) {
     timer.expires_after(limit);
-    timer.async_wait([weak = weak_from_this()](error_code failed) {
-      if (const auto self = weak.lock(); self && !failed) self->end();
+    timer.async_wait([weak = weak_from_this()](error_code error) {
+      if (const auto self = weak.lock(); self && !error) self->close();
     });
   }
 
-  void end() {
+  void close() {
     error_code ignored;
     socket.shutdown(Tcp::socket::shutdown_send, ignored);
     socket.close(ignored);
     timer.cancel();
-    if (auto* s = std::exchange(server, nullptr)) s->sessions_.erase(shared_from_this());
+    if (auto* owner = std::exchange(server, nullptr)) owner->sessions_.erase(shared_from_this());
   }
 
   Server* server;
   Socket socket;
   Timer timer;
-  std::string in, out;
-  std::array<char, 4096> ahead;  // bytes behind the call that is being answered
-  bool watching = false;         // a read into `ahead` is under way
-  bool answering = false;
+  std::string input, output;
+  std::array<char, 4096> read_ahead;  // data behind the current request
+  bool reading_ahead = false;         // a read into `read_ahead` is pending
+  bool responding = false;
   std::shared_ptr<bool> client_disconnected = std::make_shared<bool>(false);
-  std::size_t want = 0;  // bytes of the message being read, where known
+  std::size_t expected_size = 0;  // size of the request being read; 0: unknown
 };
 
-Server::Server(asio::io_context& io, const Tcp::endpoint& at, ServerLimits limits, Handler handle)
-    : acceptor_(io.get_executor()), limits_(limits), handle_(std::move(handle)) {
-  acceptor_.open(at.protocol());
+Server::Server(asio::io_context& io, const Tcp::endpoint& endpoint, ServerLimits limits, Handler handler)
+    : acceptor_(io.get_executor()), limits_(limits), handler_(std::move(handler)) {
+  acceptor_.open(endpoint.protocol());
   acceptor_.set_option(Acceptor::reuse_address(true));
-  acceptor_.bind(at);
+  acceptor_.bind(endpoint);
   acceptor_.listen();
   accept();
 }
@@ -149,17 +158,17 @@
   error_code ignored;
   acceptor_.close(ignored);
   const auto all = std::exchange(sessions_, {});
-  for (const auto& s : all) {
-    s->server = nullptr;
-    s->timer.cancel();
-    s->socket.close(ignored);
+  for (const auto& session : all) {
+    session->server = nullptr;
+    session->timer.cancel();
+    session->socket.close(ignored);
   }
 }
 
 void Server::accept() {
-  acceptor_.async_accept([this](error_code failed, Socket socket) {
-    if (failed == asio::error::operation_aborted || closed_) return;
-    if (!failed && sessions_.size() < limits_.connections) {
+  acceptor_.async_accept([this](error_code error, Socket socket) {
+    if (error == asio::error::operation_aborted || closed_) return;
+    if (!error && sessions_.size() < limits_.max_connections) {
       error_code ignored;
       socket.set_option(Tcp::no_delay(true), ignored);
       const auto session = std::make_shared<Session>(*this, std::move(socket));
--- a/src/system/proxy/control_client.cpp
+++ b/src/system/proxy/control_client.cpp
@@ -7,11 +7,11 @@
 namespace docklift::proxy {
 namespace {
 using namespace std::chrono_literals;
-constexpr Duration kRenew = 600ms;
-constexpr std::size_t kTokens = 64;      // that may still be answered: some half a minute's
-constexpr std::size_t kUnitCalls = 256;  // at once; an answer to an older one is void
-constexpr std::size_t kLinks = 3;        // registries that one proxy is linked to
-constexpr Duration kGivenUp = 2000ms;    // without a link for so long: another registry is linked instead
+constexpr Duration kRenewalInterval = 600ms;
+constexpr std::size_t kMaxConfirmTokens = 64;     // unanswered tokens: renewals of about half a minute
+constexpr std::size_t kMaxUnitRequests = 256;     // in flight; grants for older requests are ignored
+constexpr std::size_t kTargetLinks = 3;           // registries that a proxy keeps links to
+constexpr Duration kLinkFailureTimeout = 2000ms;  // a link that has been down this long is replaced
 }  // namespace
 
 ControlClient::ControlClient(boost::asio::io_context& io, const SystemSettings& settings,
@@ -23,8 +23,8 @@
       log_("control"),
       follower_([this](const std::string& ip, fleet::Outgoing& out) { send_to(ip, out); },
                 [this](const std::string& note) { log_.info(note); }),
-      confirm_tokens_(kTokens),
-      unit_calls_(kUnitCalls),
+      confirm_tokens_(kMaxConfirmTokens),
+      unit_requests_(kMaxUnitRequests),
       timer_(io.get_executor()) {
   self_.id = settings.hostname, self_.zone = settings.zone, self_.role = fleet::Role::PROXY;
   self_.life = new_incarnation();
@@ -36,7 +36,7 @@
 
 void ControlClient::start() {
   registries_ = settings_.seed_ips();
-  order_registries();
+  sort_registries();
   choose_registries();
   tick();
 }
@@ -44,50 +44,50 @@
 void ControlClient::stop() {
   stopped_ = true;
   timer_.cancel();
-  for (auto& [ip, d] : links_) d->stop();
+  for (auto& [ip, dialer] : links_) dialer->stop();
 }
 
-// Each proxy has an order of its own, so that they spread over the registries.
-void ControlClient::order_registries() {
+// Rendezvous hashing gives each proxy its own preference order, which spreads proxies over the registries.
+void ControlClient::sort_registries() {
   registries_ = fleet::rendezvous_order(settings_.hostname, std::move(registries_));
 }
 
-// Links stay where they are; missing ones are made up for, the holder of the counts is always linked. One that has
-// failed for long counts as missing, and is left when enough others stand.
+// Keeps existing links, adds links until kTargetLinks are healthy, and always links to the holder of the
+// quota lease. A link that has failed counts as missing and is dropped once enough others are healthy.
 void ControlClient::choose_registries() {
   for (const auto& ip : registries_)
-    if (standing_links() < kLinks) dial(ip);
-  if (!holder_.empty()) dial(holder_);
-  leave_failing();
+    if (healthy_links() < kTargetLinks) connect_to(ip);
+  if (!holder_.empty()) connect_to(holder_);
+  drop_failed_links();
 }
 
-std::size_t ControlClient::standing_links() const {
+std::size_t ControlClient::healthy_links() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(links_, [&](const auto& link) { return !fails_for_long(link.first); }));
+      std::ranges::count_if(links_, [&](const auto& link) { return !has_failed(link.first); }));
 }
 
-bool ControlClient::fails_for_long(const std::string& ip) const {
+bool ControlClient::has_failed(const std::string& ip) const {
   const auto since = failing_since_.find(ip);
-  return since != failing_since_.end() && clock_.now() - since->second >= kGivenUp;
+  return since != failing_since_.end() && clock_.now() - since->second >= kLinkFailureTimeout;
 }
 
-void ControlClient::leave_failing() {
-  if (standing_links() < kLinks) return;
+void ControlClient::drop_failed_links() {
+  if (healthy_links() < kTargetLinks) return;
   for (const auto& ip : registries_) {
     const auto link = links_.find(ip);
-    if (link == links_.end() || ip == holder_ || !fails_for_long(ip)) continue;
+    if (link == links_.end() || ip == holder_ || !has_failed(ip)) continue;
     link->second->stop();
     links_.erase(link);
     failing_since_.erase(ip);
   }
 }
 
-void ControlClient::dial(const std::string& ip) {
+void ControlClient::connect_to(const std::string& ip) {
   if (links_.contains(ip) || stopped_) return;
-  const Tcp::endpoint to(boost::asio::ip::make_address(ip),
-                         static_cast<std::uint16_t>(settings_.first_port + kRegistryPort));
+  const Tcp::endpoint endpoint(boost::asio::ip::make_address(ip),
+                               static_cast<std::uint16_t>(settings_.first_port + kRegistryPort));
   const auto dialer = std::make_shared<Dialer>(
-      io_, to, LinkLimits{}, [this, ip](wire::Frame::Reader frame) { on_frame(ip, frame); },
+      io_, endpoint, LinkLimits{}, [this, ip](wire::Frame::Reader frame) { on_frame(ip, frame); },
       [this, ip](const std::shared_ptr<Link>& link) {
         fleet::Outgoing out;
         self_.stamp++, self_.heard = clock_.now();
@@ -96,23 +96,23 @@
         follower_.on_linked(ip);
         request_confirmation(*link, new_confirm_token());
         request_records(record_requests_.linked(clock_.now(), ip));
-        check_holder();
+        update_holder_reachability();
       },
-      [this, ip](const Failure& why) {
-        log_.debug(why.shown());
+      [this, ip](const Failure& error) {
+        log_.debug(error.shown());
         follower_.on_lost(clock_.now(), ip);
         failing_since_.try_emplace(ip, clock_.now());
         if (proxies_.forget(ip)) listener_.on_proxies(proxies_.all());
         request_records(record_requests_.lost(clock_.now(), ip));
-        check_holder();
+        update_holder_reachability();
       });
   links_[ip] = dialer;
   dialer->start();
 }
 
 void ControlClient::send_to(const std::string& ip, fleet::Outgoing& out) {
-  const auto d = links_.find(ip);
-  if (d != links_.end() && d->second->up()) d->second->link()->send(out.message());
+  const auto link = links_.find(ip);
+  if (link != links_.end() && link->second->up()) link->second->link()->send(out.message());
 }
 
 void ControlClient::set_state(bool ready, bool leaving) {
@@ -126,10 +126,10 @@
   self_.stamp++, self_.heard = clock_.now();
   fleet::put_hello(out, self_, clock_.now());
   const auto token = new_confirm_token();
-  for (auto& [ip, d] : links_) {
-    if (!d->up()) continue;
-    d->link()->send(out.message());
-    request_confirmation(*d->link(), token);
+  for (auto& [ip, dialer] : links_) {
+    if (!dialer->up()) continue;
+    dialer->link()->send(out.message());
+    request_confirmation(*dialer->link(), token);
   }
 }
 
@@ -145,73 +145,73 @@
   link.send(out.message());
 }
 
-// As of the moment at which the token was sent, what is here was the newest.
+// The token proves that the local log was up to date when the token was sent.
 void ControlClient::on_confirmed(wire::Confirmed::Reader confirmed) {
   const auto sent = confirm_tokens_.of(confirmed.getToken());
   if (!sent) return;
   const auto position = confirmed.getPosition();
   follower_.on_core_at(clock_.now(), position);
-  tell_lag();
+  notify_lag();
   if (!confirmation_.answered(*sent, position, changes_.position()))
     return follower_.on_core_behind(position);
-  tell_confirmed();
+  notify_confirmed();
 }
 
 void ControlClient::on_log_advanced() {
   confirmation_.advanced(changes_.position());
-  tell_lag();
+  notify_lag();
   listener_.on_changes(changes_);
-  tell_confirmed();
+  notify_confirmed();
 }
 
-void ControlClient::tell_confirmed() {
-  const auto at = confirmation_.at();
-  if (!at) return;
+void ControlClient::notify_confirmed() {
+  const auto confirmed_at = confirmation_.at();
+  if (!confirmed_at) return;
   if (!std::exchange(confirmed_once_, true))
     log_.info("change " + std::to_string(changes_.position()) + " is confirmed as the newest of the core");
-  listener_.on_confirmed(*at);
+  listener_.on_confirmed(*confirmed_at);
 }
 
-void ControlClient::tell_lag() { listener_.on_behind(follower_.behind_since(clock_.now()).has_value()); }
+void ControlClient::notify_lag() { listener_.on_lagging(follower_.behind_since(clock_.now()).has_value()); }
 
 void ControlClient::tick() {
-  timer_.expires_after(kRenew);
-  timer_.async_wait([this](boost::system::error_code failed_wait) {
-    if (failed_wait || stopped_) return;
+  timer_.expires_after(kRenewalInterval);
+  timer_.async_wait([this](boost::system::error_code error) {
+    if (error || stopped_) return;
     renew();
     choose_registries();
     follower_.watch(clock_.now());
     request_records(record_requests_.tick(clock_.now()));
-    tell_lag();
+    notify_lag();
     tick();
   });
 }
 
-void ControlClient::check_holder() {
-  const auto d = links_.find(holder_);
-  const bool reachable = !holder_.empty() && d != links_.end() && d->second->up();
-  if (std::exchange(reachable_, reachable) != reachable) listener_.on_holder(reachable);
+void ControlClient::update_holder_reachability() {
+  const auto link = links_.find(holder_);
+  const bool reachable = !holder_.empty() && link != links_.end() && link->second->up();
+  if (std::exchange(holder_reachable_, reachable) != reachable) listener_.on_holder_reachable(reachable);
 }
 
 void ControlClient::request_units(const std::vector<decisions::UnitOrder>& orders) {
-  const auto d = links_.find(holder_);
-  if (d == links_.end() || !d->second->up()) return listener_.on_grants_failed();
+  const auto link = links_.find(holder_);
+  if (link == links_.end() || !link->second->up()) return listener_.on_grants_failed();
   fleet::Outgoing out;
-  auto to = out.frame().initUnitRequest();
-  to.setCall(unit_calls_.sent(clock_.now())), to.setTerm(term_);
-  auto list = to.initOrders(static_cast<unsigned>(orders.size()));
+  auto request = out.frame().initUnitRequest();
+  request.setCall(unit_requests_.sent(clock_.now())), request.setTerm(term_);
+  auto list = request.initOrders(static_cast<unsigned>(orders.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setTenant(orders[i].tenant), list[i].setAhead(static_cast<std::uint8_t>(orders[i].ahead));
     const auto units = static_cast<std::int32_t>(orders[i].units);
     list[i].setUnits(orders[i].back < 0 ? units : -units), list[i].setWindow(orders[i].back);
     list[i].setDemand(static_cast<float>(orders[i].demand));
   }
-  d->second->link()->send(out.message());
+  link->second->link()->send(out.message());
 }
 
 void ControlClient::on_frame(const std::string& ip, wire::Frame::Reader frame) {
   if (stopped_) return;
-  failing_since_.erase(ip);  // a link that only came up has shown nothing yet
+  failing_since_.erase(ip);  // only a received frame proves that the link works
   switch (frame.which()) {
     case wire::Frame::CHANGES:
     case wire::Frame::SNAPSHOT_PART:
@@ -225,16 +225,16 @@
 }
 
 void ControlClient::on_unit_grants(const std::string& ip, wire::UnitGrants::Reader answer) {
-  const auto sent = unit_calls_.of(answer.getCall());
+  const auto sent = unit_requests_.of(answer.getCall());
   if (!sent || ip != holder_) return;
   if (answer.getRefused()) return listener_.on_grants_failed();
   decisions::UnitAnswer grants;
   grants.term = answer.getTerm(), grants.sent = *sent;
-  for (const auto g : answer.getGrants()) {
-    if (g.getEndsMs() == 0) continue;  // a hand-back has no answer
-    grants.grants.push_back({g.getTenant().cStr(), g.getWindow(), g.getUnits(), g.getLeft(),
-                             from_millis(g.getStartsMs()), from_millis(g.getEndsMs()),
-                             from_millis(g.getMoreMs())});
+  for (const auto grant : answer.getGrants()) {
+    if (grant.getEndsMs() == 0) continue;  // returned units are not answered
+    grants.grants.push_back({grant.getTenant().cStr(), grant.getWindow(), grant.getUnits(), grant.getLeft(),
+                             from_millis(grant.getStartsMs()), from_millis(grant.getEndsMs()),
+                             from_millis(grant.getMoreMs())});
   }
   listener_.on_grants(grants);
 }
@@ -251,48 +251,49 @@
   for (const auto& ip : registries) send_to(ip, out);
 }
 
-void ControlClient::take_servers(const std::string& ip, wire::Fleet::Reader f) {
+void ControlClient::apply_servers(const std::string& ip, wire::Fleet::Reader fleet_state) {
   const Time now = clock_.now();
   std::vector<fleet::Server> changed;
-  for (const auto s : f.getServers()) {
-    changed.push_back(fleet::get(s, now));
+  for (const auto server : fleet_state.getServers()) {
+    changed.push_back(fleet::get(server, now));
     records_.take(changed.back());
   }
   fleet::RecordRequests::Registries next;
-  if (f.getComplete()) next = record_requests_.answered(ip);
-  const bool first_known = f.getComplete() && records_.size() > 0;
+  if (fleet_state.getComplete()) next = record_requests_.answered(ip);
+  const bool first_known = fleet_state.getComplete() && records_.size() > 0;
   if (!changed.empty() || first_known) listener_.on_servers(changed, record_requests_.complete());
   request_records(next);
 }
 
-// Whether the live proxies have changed.
-bool ControlClient::take_members(const std::string& ip, wire::Fleet::Reader f) {
-  if (f.getProxies().size() > 0) {
+// Returns whether the set of live proxies has changed.
+bool ControlClient::apply_members(const std::string& ip, wire::Fleet::Reader fleet_state) {
+  if (fleet_state.getProxies().size() > 0) {
     std::set<std::string> proxies;
-    for (const auto p : f.getProxies()) proxies.emplace(p.cStr());
+    for (const auto proxy : fleet_state.getProxies()) proxies.emplace(proxy.cStr());
     return proxies_.replace(ip, std::move(proxies));
   }
   fleet::MemberChange change;
-  for (const auto p : f.getProxiesJoined()) change.joined.emplace_back(p.cStr());
-  for (const auto p : f.getProxiesLeft()) change.left.emplace_back(p.cStr());
+  for (const auto proxy : fleet_state.getProxiesJoined()) change.joined.emplace_back(proxy.cStr());
+  for (const auto proxy : fleet_state.getProxiesLeft()) change.left.emplace_back(proxy.cStr());
   return !change.empty() && proxies_.change(ip, change);
 }
 
-void ControlClient::on_fleet(const std::string& ip, wire::Fleet::Reader f) {
-  take_servers(ip, f);
-  if (take_members(ip, f)) listener_.on_proxies(proxies_.all());
-  for (const auto r : f.getRegistries())
-    if (std::ranges::find(registries_, r.cStr()) == registries_.end()) registries_.emplace_back(r.cStr());
-  if (f.getRegistries().size() > 0) order_registries();
-  if (f.getTerm() > term_) {
-    term_ = self_.term = f.getTerm(), holder_ = f.getHolder().cStr();
+void ControlClient::on_fleet(const std::string& ip, wire::Fleet::Reader fleet_state) {
+  apply_servers(ip, fleet_state);
+  if (apply_members(ip, fleet_state)) listener_.on_proxies(proxies_.all());
+  for (const auto registry : fleet_state.getRegistries())
+    if (std::ranges::find(registries_, registry.cStr()) == registries_.end())
+      registries_.emplace_back(registry.cStr());
+  if (fleet_state.getRegistries().size() > 0) sort_registries();
+  if (fleet_state.getTerm() > term_) {
+    term_ = self_.term = fleet_state.getTerm(), holder_ = fleet_state.getHolder().cStr();
     choose_registries();
-    // What was asked of the one before gets no answer that counts.
-    if (std::exchange(reachable_, false)) listener_.on_holder(false);
+    // Responses of the previous holder are ignored.
+    if (std::exchange(holder_reachable_, false)) listener_.on_holder_reachable(false);
     listener_.on_new_holder(term_);
-    check_holder();
+    update_holder_reachability();
   }
-  if (f.getPosition() > changes_.position() + 1) follower_.on_newer(ip);
+  if (fleet_state.getPosition() > changes_.position() + 1) follower_.on_newer(ip);
 }
 
 }  // namespace docklift::proxy
--- a/src/system/proxy/main.cpp
+++ b/src/system/proxy/main.cpp
@@ -1,3 +1,4 @@
+// Entry point of docklift-proxy.
 #include "system/program/program.hpp"
 #include "system/proxy/proxy.hpp"
 
@@ -5,8 +6,8 @@
 namespace {
 
 int run(int argc, char** argv) {
-  return run_program({"docklift-proxy", "Takes clients' requests to the servers that can answer them."}, argc,
-                     argv, [](boost::asio::io_context& io, const SystemSettings& settings) {
+  return run_program({"docklift-proxy", "Routes clients' requests to the servers that can answer them."},
+                     argc, argv, [](boost::asio::io_context& io, const SystemSettings& settings) {
                        const Log log("proxy");
                        proxy::Proxy proxy(io, settings);
                        if (const auto started = proxy.start(); failed(started))
--- a/src/system/proxy/proxy.cpp
+++ b/src/system/proxy/proxy.cpp
@@ -5,12 +5,12 @@
 namespace docklift::proxy {
 namespace {
 using namespace std::chrono_literals;
-constexpr Duration kTick = 20ms;  // while requests are open, or connections in a drain
-constexpr Duration
-    kNoConfiguration = 300ms;        // until a client may come back where none is here, or an old one
-constexpr Duration kReport = 10s;    // from one line of figures to the next, where they have changed
-constexpr double kClientPart = 0.6;  // of the descriptors
-std::uint64_t drawn() { return (std::uint64_t(std::random_device{}()) << 32) | std::random_device{}(); }
+constexpr Duration kTickInterval = 20ms;  // runs while requests are open or connections drain
+// Retry-After of responses sent while there is no configuration or it may be outdated.
+constexpr Duration kUnconfiguredRetryAfter = 300ms;
+constexpr Duration kReportInterval = 10s;          // between log lines of statistics that have changed
+constexpr double kClientDescriptorFraction = 0.6;  // of the file descriptors, for client connections
+std::uint64_t random_seed() { return (std::uint64_t(std::random_device{}()) << 32) | std::random_device{}(); }
 }  // namespace
 
 Proxy::Proxy(boost::asio::io_context& io, const SystemSettings& settings)
@@ -19,39 +19,39 @@
       timers_(io, clock_),
       log_("proxy"),
       decisions_({settings.hostname, settings.zone, settings.region}, settings.zones, settings.bounds,
-                 drawn()),
+                 random_seed()),
       upstream_(io, timers_),
       control_client_(io, settings_, clock_, *this),
       acceptor_(io.get_executor()) {}
 
 Proxy::~Proxy() {
   const auto all = sessions_;
-  for (const auto& s : all) s->close();
+  for (const auto& session : all) session->close();
 }
 
 Result<std::monostate> Proxy::start() {
   const auto http = settings_.listen.find("http");
   const auto ready = settings_.listen.find("readyz");
   if (http == settings_.listen.end()) return Failure{"read settings", "listen.http", "is missing"};
-  auto at = endpoint_of(http->second);
-  if (failed(at)) return failure(at);
-  acceptor_.open(value(at).protocol());
+  auto endpoint = endpoint_of(http->second);
+  if (failed(endpoint)) return failure(endpoint);
+  acceptor_.open(value(endpoint).protocol());
   acceptor_.set_option(Acceptor::reuse_address(true));
-  acceptor_.bind(value(at));
+  acceptor_.bind(value(endpoint));
   acceptor_.listen(1024);
   accept();
   if (ready != settings_.listen.end()) {
-    auto where = endpoint_of(ready->second);
-    if (failed(where)) return failure(where);
+    auto ready_endpoint = endpoint_of(ready->second);
+    if (failed(ready_endpoint)) return failure(ready_endpoint);
     readyz_ = std::make_unique<http::Server>(
-        io_, value(where), http::ServerLimits{},
-        [this](const http::Request& call, const http::Server::Respond& respond) {
-          if (call.path() != "/readyz") return respond({404, ""});
-          respond({serves() ? 200 : 503, ""});
+        io_, value(ready_endpoint), http::ServerLimits{},
+        [this](const http::Request& request, const http::Server::Respond& respond) {
+          if (request.path() != "/readyz") return respond({404, ""});
+          respond({is_serving() ? 200 : 503, ""});
         });
   }
   control_client_.start();
-  report();
+  log_statistics();
   return std::monostate{};
 }
 
@@ -59,16 +59,16 @@
   return configuration_ ? configuration_->limits : configuration::Limits{};
 }
 
-OwnAnswer Proxy::denial(int status) const {
+LocalReply Proxy::rejection(int status) const {
   if (decisions_.may_deny(clock_.now())) return {status};
-  return {503, kNoConfiguration};
+  return {503, kUnconfiguredRetryAfter};
 }
 
 void Proxy::accept() {
-  acceptor_.async_accept([this](boost::system::error_code failed_accept, Socket socket) {
-    if (failed_accept == boost::asio::error::operation_aborted) return;
-    if (!failed_accept &&
-        static_cast<double>(sessions_.size()) < kClientPart * static_cast<double>(settings_.descriptors)) {
+  acceptor_.async_accept([this](boost::system::error_code error, Socket socket) {
+    if (error == boost::asio::error::operation_aborted) return;
+    if (!error && static_cast<double>(sessions_.size()) <
+                      kClientDescriptorFraction * static_cast<double>(settings_.descriptors)) {
       snowknot::set_no_delay(socket);
       const auto session = std::make_shared<Session>(*this, timers_, std::move(socket));
       sessions_.insert(session);
@@ -78,13 +78,13 @@
   });
 }
 
-void Proxy::on_ended(const std::shared_ptr<Session>& session) {
+void Proxy::on_closed(const std::shared_ptr<Session>& session) {
   sessions_.erase(session);
   if (!session->has_requests()) return;
-  std::vector<decisions::RequestId> left;
+  std::vector<decisions::RequestId> abandoned;
   for (const auto& [id, exchange] : exchanges_)
-    if (exchange.session == session) left.push_back(id);
-  for (const auto id : left) carry_out(decisions_.client_left(clock_.now(), id));
+    if (exchange.session == session) abandoned.push_back(id);
+  for (const auto id : abandoned) execute(decisions_.client_left(clock_.now(), id));
 }
 
 bool Proxy::is_repeatable(const Request& request) const {
@@ -96,70 +96,72 @@
   const Time now = clock_.now();
   if (!configuration_) {
     decisions_.refused_without_configuration();
-    return session->answer(number, {503, kNoConfiguration});
+    return session->respond(number, {503, kUnconfiguredRetryAfter});
   }
   const auto* route = configuration_->route(request.host, request.target);
-  if (!route) return session->answer(number, denial(404));
+  if (!route) return session->respond(number, rejection(404));
   const auto* tenant = request.key.empty() ? nullptr : configuration_->tenant_of(request.key);
   if (configuration_->has_tenants() && !route->is_public && !tenant)
-    return session->answer(number, denial(401));
+    return session->respond(number, rejection(401));
   const auto id = ++last_id_;
-  const Duration left = from_millis(
+  const Duration time_left = from_millis(
       request.deadline_ms.value_or(route->timeout_ms > 0 ? route->timeout_ms : 10000));
-  auto& x = exchanges_[id];
-  x.session = session, x.number = number, x.request = std::move(request), x.deadline = now + left;
-  if (tenant) x.tenant = tenant->name;
-  carry_out(decisions_.arrive(now, {id, route, tenant, left}));
+  auto& exchange = exchanges_[id];
+  exchange.session = session, exchange.number = number, exchange.request = std::move(request),
+  exchange.deadline = now + time_left;
+  if (tenant) exchange.tenant = tenant->name;
+  execute(decisions_.arrive(now, {id, route, tenant, time_left}));
   if (!ticking_ && decisions_.open() > 0) tick();
 }
 
-void Proxy::carry_out(decisions::Actions actions) {
+void Proxy::execute(decisions::Actions actions) {
   for (auto& action : actions) {
-    if (const auto* s = std::get_if<decisions::Send>(&action)) {
-      send(*s);
-    } else if (const auto* request = std::get_if<decisions::RequestUnits>(&action)) {
-      control_client_.request_units(request->orders);
-    } else if (const auto* r = std::get_if<decisions::Refuse>(&action)) {
-      if (const auto x = exchanges_.extract(r->request))
-        x.mapped().session->answer(x.mapped().number, {r->status, r->retry_after});
-    } else if (const auto* f = std::get_if<decisions::Fail>(&action)) {
-      if (const auto x = exchanges_.extract(f->request))
-        x.mapped().session->answer(x.mapped().number, {f->status});
+    if (const auto* to_send = std::get_if<decisions::Send>(&action)) {
+      send(*to_send);
+    } else if (const auto* units = std::get_if<decisions::RequestUnits>(&action)) {
+      control_client_.request_units(units->orders);
+    } else if (const auto* refusal = std::get_if<decisions::Refuse>(&action)) {
+      if (const auto exchange = exchanges_.extract(refusal->request))
+        exchange.mapped().session->respond(exchange.mapped().number, {refusal->status, refusal->retry_after});
+    } else if (const auto* failure = std::get_if<decisions::Fail>(&action)) {
+      if (const auto exchange = exchanges_.extract(failure->request))
+        exchange.mapped().session->respond(exchange.mapped().number, {failure->status});
     } else if (const auto* drop = std::get_if<decisions::Drop>(&action)) {
       exchanges_.erase(drop->request);
     } else if (const auto* attempt = std::get_if<decisions::Cancel>(&action)) {
       cancel(*attempt);
     } else if (const auto* relay = std::get_if<decisions::Relay>(&action)) {
-      if (auto x = exchanges_.extract(relay->request))
-        x.mapped().session->answer(x.mapped().number, std::move(x.mapped().last.reply),
-                                   x.mapped().last.body_at);
+      if (auto exchange = exchanges_.extract(relay->request))
+        exchange.mapped().session->respond(exchange.mapped().number,
+                                           std::move(exchange.mapped().last_result.response),
+                                           exchange.mapped().last_result.fields_end);
     }
   }
 }
 
-void Proxy::send(const decisions::Send& s) {
-  const auto it = exchanges_.find(s.request);
-  const auto* server = decisions_.known(s.server);
+void Proxy::send(const decisions::Send& action) {
+  const auto it = exchanges_.find(action.request);
+  const auto* server = decisions_.known(action.server);
   if (it == exchanges_.end() || !server) return;
-  auto& x = it->second;
-  Attempt a;
-  a.server = s.server, a.address = server->address, a.method = x.request.method,
-  a.attempt_id = x.request.attempt_id;
-  a.body = x.request.body;
-  a.deadline = clock_.now() + s.timeout;
-  a.valid_until = s.valid_until;
-  a.head = x.request.head;
-  a.head += "Deadline: " + std::to_string(std::max(1u, millis(s.timeout))) +
-            "\r\nWant-Instance: " + server->id + "\r\n";
-  if (!x.tenant.empty()) a.head += "Tenant: " + x.tenant + "\r\n";
-  x.attempt = upstream_.start(std::move(a), [this, id = s.request](Answered answered) {
+  auto& exchange = it->second;
+  Attempt attempt;
+  attempt.server = action.server, attempt.address = server->address, attempt.method = exchange.request.method,
+  attempt.attempt_id = exchange.request.attempt_id;
+  attempt.body = exchange.request.body;
+  attempt.deadline = clock_.now() + action.timeout;
+  attempt.valid_until = action.valid_until;
+  attempt.head = exchange.request.head;
+  attempt.head += "Deadline: " + std::to_string(std::max(1u, millis(action.timeout))) +
+                  "\r\nWant-Instance: " + server->id + "\r\n";
+  if (!exchange.tenant.empty()) attempt.head += "Tenant: " + exchange.tenant + "\r\n";
+  exchange.attempt = upstream_.start(std::move(attempt), [this, id = action.request](AttemptResult result) {
     const auto open = exchanges_.find(id);
     if (open == exchanges_.end()) return;
-    const auto outcome = answered.outcome;
-    const auto took = answered.took;
-    const bool whole = answered.status != 0;
-    open->second.last = std::move(answered);
-    end_attempt(id, outcome, took, whole);
+    const auto outcome = result.outcome;
+    const auto elapsed = result.elapsed;
+    const bool complete = result.status != 0;
+    open->second.last_result = std::move(result);
+    on_attempt_ended(id, outcome, elapsed, complete);
   });
 }
 
@@ -167,135 +169,137 @@
   const auto open = exchanges_.find(attempt.request);
   if (open == exchanges_.end()) return;
   const auto outcome = upstream_.cancel(open->second.attempt, attempt.unsent_only);
-  if (outcome) end_attempt(attempt.request, *outcome, {}, false);
+  if (outcome) on_attempt_ended(attempt.request, *outcome, {}, false);
 }
 
-void Proxy::end_attempt(decisions::RequestId id, decisions::Outcome outcome, Duration took, bool whole) {
-  carry_out(decisions_.ended(clock_.now(), id, outcome, took, whole));
-  for (const auto h : decisions_.dropped()) upstream_.forget(h);
+void Proxy::on_attempt_ended(decisions::RequestId id, decisions::Outcome outcome, Duration elapsed,
+                             bool complete) {
+  execute(decisions_.ended(clock_.now(), id, outcome, elapsed, complete));
+  for (const auto server : decisions_.dropped()) upstream_.forget(server);
 }
 
 void Proxy::tick() {
   ticking_ = true;
-  timers_.after(kTick, [this] {
-    carry_out(decisions_.tick(clock_.now()));
+  timers_.after(kTickInterval, [this] {
+    execute(decisions_.tick(clock_.now()));
     if (decisions_.open() > 0) return tick();
     ticking_ = false;
   });
 }
 
-// Figures for operators, in the log.
-void Proxy::report() {
-  timers_.after(kReport, [this] {
+// Logs statistics for operators when they have changed.
+void Proxy::log_statistics() {
+  timers_.after(kReportInterval, [this] {
     const auto& departures = decisions_.departures();
     if (departures != reported_departures_) log_.info(decisions::shown(departures));
     reported_departures_ = departures;
     const auto& refusals = decisions_.refusals();
     if (refusals != reported_refusals_) log_.info(decisions::shown(refusals));
     reported_refusals_ = refusals;
-    report();
+    log_statistics();
   });
 }
 
-// With a configuration that was confirmed in this life and is not known to be old.
-bool Proxy::serves() const {
-  return configuration_ && confirmed_ && heard_servers_ && !drain_ && !decisions_.is_outdated(clock_.now());
+// Ready once the servers are known and the configuration was confirmed since the start and is not outdated.
+bool Proxy::is_serving() const {
+  return configuration_ && confirmed_ && servers_known_ && !drain_ && !decisions_.is_outdated(clock_.now());
 }
 
-void Proxy::check_ready() { control_client_.set_state(serves(), draining()); }
+void Proxy::update_ready_state() { control_client_.set_state(is_serving(), draining()); }
 
 void Proxy::on_confirmed(Time at) {
   confirmed_ = true;
   decisions_.confirmed(at);
-  check_ready();
+  update_ready_state();
 }
 
-void Proxy::on_behind(bool behind) {
-  decisions_.set_behind(behind);
-  check_ready();
+void Proxy::on_lagging(bool lagging) {
+  decisions_.set_behind(lagging);
+  update_ready_state();
 }
 
 void Proxy::on_changes(const fleet::ChangeLog& changes) {
   const Time now = clock_.now();
-  if (const auto& c = changes.configuration(); c && c != configuration_) {
-    configuration_ = c;
-    decisions_.configure(now, c);
-    log_.info("version " + configuration::shown_version(c->version) + " is in force, change " +
+  if (const auto& newest = changes.configuration(); newest && newest != configuration_) {
+    configuration_ = newest;
+    decisions_.configure(now, newest);
+    log_.info("version " + configuration::shown_version(newest->version) + " is in force, change " +
               std::to_string(changes.position()));
   }
   decisions_.set_evacuated(now, changes.state().evacuated, changes.readmitted());
-  check_ready();
+  update_ready_state();
 }
 
 void Proxy::on_servers(const std::vector<fleet::Server>& changed, bool all_known) {
-  heard_servers_ = all_known;
+  servers_known_ = all_known;
   decisions_.servers(clock_.now(), changed);
-  for (const auto h : decisions_.dropped()) upstream_.forget(h);
-  check_ready();
+  for (const auto server : decisions_.dropped()) upstream_.forget(server);
+  update_ready_state();
 }
 
 void Proxy::on_proxies(const std::vector<std::string>& zone_and_id) { decisions_.proxies(zone_and_id); }
 
-void Proxy::on_holder(bool reachable) { carry_out(decisions_.holder(clock_.now(), reachable)); }
+void Proxy::on_holder_reachable(bool reachable) { execute(decisions_.holder(clock_.now(), reachable)); }
 
-void Proxy::on_new_holder(std::uint64_t term) { carry_out(decisions_.new_holder(clock_.now(), term)); }
+void Proxy::on_new_holder(std::uint64_t term) { execute(decisions_.new_holder(clock_.now(), term)); }
 
 void Proxy::on_grants(const decisions::UnitAnswer& answer) {
-  carry_out(decisions_.granted(clock_.now(), answer));
+  execute(decisions_.granted(clock_.now(), answer));
 }
 
-void Proxy::on_grants_failed() { carry_out(decisions_.grants_failed(clock_.now())); }
+void Proxy::on_grants_failed() { execute(decisions_.grants_failed(clock_.now())); }
 
-void Proxy::drain(std::function<void()> ended) {
+void Proxy::drain(std::function<void()> on_drained) {
   if (drain_) return;
-  drained_ = std::move(ended);
+  on_drained_ = std::move(on_drained);
   drain_.emplace(clock_.now(), from_seconds(settings_.bounds.grace_s));
   decisions_.begin_drain(*drain_);
-  check_ready();
+  update_ready_state();
   log_drain("begins");
   timers_.at(drain_->accepts_until, [this] { stop_accepting(); });
-  timers_.at(drain_->gives_up, [this] { give_up(); });
+  timers_.at(drain_->gives_up, [this] { abort_open_requests(); });
 }
 
 void Proxy::stop_accepting() {
   log_drain("accepts no more");
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  end_when_closed();
+  finish_drain_when_closed();
 }
 
-void Proxy::give_up() {
-  if (!drained_) return;
+void Proxy::abort_open_requests() {
+  if (!on_drained_) return;
   log_drain("gives up what is open");
-  carry_out(decisions_.give_up(clock_.now()));
+  execute(decisions_.give_up(clock_.now()));
   const auto all = sessions_;
-  for (const auto& session : all) session->take_no_more();
+  for (const auto& session : all) session->close_after_responses();
 }
 
-// A request that crosses the close has not been read; its client sends it to another proxy.
-void Proxy::end_when_closed() {
+// A request that arrives as its connection is closed has not been read, so its client can safely send it to
+// another proxy.
+void Proxy::finish_drain_when_closed() {
   const auto all = sessions_;
   for (const auto& session : all) session->close_if_idle();
   const bool closed = sessions_.empty() && exchanges_.empty();
   if (!closed && clock_.now() < drain_->ends)
-    return void(timers_.after(kTick, [this] { end_when_closed(); }));
+    return void(timers_.after(kTickInterval, [this] { finish_drain_when_closed(); }));
   log_drain("ends");
   log_.info(decisions::shown(decisions_.refusals()));
   control_client_.stop();
-  std::exchange(drained_, nullptr)();
+  std::exchange(on_drained_, nullptr)();
 }
 
 void Proxy::log_drain(const std::string& step) const {
   std::size_t idle = 0;
-  std::size_t held = 0;
+  std::size_t blocked = 0;
   for (const auto& session : sessions_) {
     if (!session->has_requests()) ++idle;
-    held += session->answers_held();
+    blocked += session->blocked_responses();
   }
   log_.info("drain " + step + ", " + std::to_string(millis(clock_.now() - drain_->began)) +
             " ms after SIGTERM: " + std::to_string(sessions_.size()) + " connections, " +
             std::to_string(idle) + " without a request; " +
-            decisions::shown(decisions_.open_requests(clock_.now())) + "; " + std::to_string(held) +
+            decisions::shown(decisions_.open_requests(clock_.now())) + "; " + std::to_string(blocked) +
             " answers wait behind others");
 }
 
--- a/src/system/proxy/proxy.hpp
+++ b/src/system/proxy/proxy.hpp
@@ -1,4 +1,4 @@
-// The proxy on sockets: clients' sessions, the decisions, connections to servers, news from registries.
+// The proxy server: connects client sessions, the decision logic, upstream connections and registry updates.
 #pragma once
 
 #include <functional>
@@ -16,53 +16,56 @@
 
 namespace docklift::proxy {
 
-class Proxy : public Session::Host, public ControlClient::Listener {
+// Owns all client sessions and executes the actions that the decision logic returns.
+class Proxy : public Session::Handler, public ControlClient::Listener {
  public:
   Proxy(boost::asio::io_context& io, const SystemSettings& settings);
   ~Proxy() override;
   Result<std::monostate> start();
-  // Leaves in order: is no longer given to clients, answers what is open, and calls `ended` within the grace. Once.
-  void drain(std::function<void()> ended);
+  // Shuts down gracefully: stops being advertised to clients, answers open requests, and calls `on_drained`
+  // within the grace period. Later calls do nothing.
+  void drain(std::function<void()> on_drained);
 
   configuration::Limits limits() const override;
-  OwnAnswer denial(int status) const override;
+  LocalReply rejection(int status) const override;
   bool draining() const override { return drain_.has_value(); }
   void on_request(const std::shared_ptr<Session>& session, std::uint64_t number, Request request) override;
   bool is_repeatable(const Request& request) const override;
-  void on_ended(const std::shared_ptr<Session>& session) override;
+  void on_closed(const std::shared_ptr<Session>& session) override;
 
   void on_changes(const fleet::ChangeLog& changes) override;
   void on_servers(const std::vector<fleet::Server>& changed, bool all_known) override;
   void on_proxies(const std::vector<std::string>& zone_and_id) override;
   void on_confirmed(Time at) override;
-  void on_behind(bool behind) override;
-  void on_holder(bool reachable) override;
+  void on_lagging(bool lagging) override;
+  void on_holder_reachable(bool reachable) override;
   void on_new_holder(std::uint64_t term) override;
   void on_grants(const decisions::UnitAnswer& answer) override;
   void on_grants_failed() override;
 
  private:
+  // An open request, from its arrival to its response.
   struct Exchange {
     std::shared_ptr<Session> session;
-    std::uint64_t number = 0;  // of the request on its session
+    std::uint64_t number = 0;  // sequence number within its session
     Request request;
     std::string tenant;
     Time deadline{};
-    Answered last;
+    AttemptResult last_result;
     Upstream::Handle attempt;
   };
   void accept();
-  void carry_out(decisions::Actions actions);
-  void send(const decisions::Send& s);
+  void execute(decisions::Actions actions);
+  void send(const decisions::Send& action);
   void cancel(const decisions::Cancel& attempt);
-  void end_attempt(decisions::RequestId id, decisions::Outcome outcome, Duration took, bool whole);
+  void on_attempt_ended(decisions::RequestId id, decisions::Outcome outcome, Duration elapsed, bool complete);
   void tick();
-  bool serves() const;
-  void check_ready();
-  void report();
+  bool is_serving() const;  // ready for new clients
+  void update_ready_state();
+  void log_statistics();
   void stop_accepting();
-  void give_up();
-  void end_when_closed();
+  void abort_open_requests();
+  void finish_drain_when_closed();
   void log_drain(const std::string& step) const;
 
   boost::asio::io_context& io_;
@@ -82,8 +85,8 @@
   decisions::DepartureCounts reported_departures_;
   decisions::RefusalCounts reported_refusals_;
   std::optional<decisions::DrainSchedule> drain_;
-  std::function<void()> drained_;
-  bool heard_servers_ = false, confirmed_ = false, ticking_ = false;
+  std::function<void()> on_drained_;
+  bool servers_known_ = false, confirmed_ = false, ticking_ = false;
 };
 
 }  // namespace docklift::proxy
--- a/src/system/proxy/session.cpp
+++ b/src/system/proxy/session.cpp
@@ -12,67 +12,68 @@
 using stream::BodyDecoder;
 
 namespace {
-constexpr std::size_t kAhead = std::size_t{64} * 1024;  // bytes read behind requests that are under way
-constexpr std::size_t kTogether = 16;                   // requests of one connection under way
-constexpr Duration kWrite = std::chrono::seconds(20);
-// A connection that the client may still have sent on, after the last answer: closed at once it would be reset, and the
-// answer perhaps be lost with it.
-constexpr Duration kLinger = std::chrono::milliseconds(300);
-constexpr Duration kCloseWatch = std::chrono::milliseconds(250);  // of a connection that is not read
+constexpr std::size_t kMaxReadAheadBytes = std::size_t{64} * 1024;  // input buffered behind open requests
+constexpr std::size_t kMaxPipelinedRequests = 16;                   // open requests per connection
+constexpr Duration kWriteTimeout = std::chrono::seconds(20);
+// Delay between the last response and the close of a connection on which the client may still have sent data.
+// An immediate close would reset the connection, and the response could be lost.
+constexpr Duration kLingerTime = std::chrono::milliseconds(300);
+// Between checks for a close while nothing is read from the connection.
+constexpr Duration kCloseCheckInterval = std::chrono::milliseconds(250);
 }  // namespace
 
-Session::Session(Host& host, snowknot::Timers& timers, Socket socket)
-    : host_(&host), timers_(timers), socket_(std::move(socket)) {}
+Session::Session(Handler& handler, snowknot::Timers& timers, Socket socket)
+    : handler_(&handler), timers_(timers), socket_(std::move(socket)) {}
 
 void Session::start() {
-  wait_for(host_->limits().header_ms, false);
+  arm_read_timeout(handler_->limits().header_ms, false);
   read();
 }
 
-void Session::wait_for(double ms, bool idle) {
-  timers_.cancel(limit_);
-  limit_ = timers_.after(from_millis(ms), [self = shared_from_this(), idle] {
-    self->limit_.reset();
-    if (self->in_.empty()) return self->close();
-    // A request has begun as the idle time ended; it has its own time.
-    if (idle) return self->wait_for(self->host_->limits().header_ms, false);
-    self->refuse({408});
+void Session::arm_read_timeout(double ms, bool idle) {
+  timers_.cancel(timeout_);
+  timeout_ = timers_.after(from_millis(ms), [self = shared_from_this(), idle] {
+    self->timeout_.reset();
+    if (self->input_.empty()) return self->close();
+    // A request began just as the idle timeout expired; it gets its own timeout.
+    if (idle) return self->arm_read_timeout(self->handler_->limits().header_ms, false);
+    self->reject({408});
   });
 }
 
 void Session::read() {
   if (reading_ || closed_) return;
-  if (!slots_.empty() && in_.size() > kAhead) return watch_for_close();
+  if (!pipeline_.empty() && input_.size() > kMaxReadAheadBytes) return schedule_close_check();
   reading_ = true;
-  // Not into in_ itself: what is behind a request is taken from it while a read is out.
-  socket_.async_read_some(asio::buffer(chunk_),
-                          [self = shared_from_this()](error_code failed, std::size_t n) {
+  // Not directly into input_, which is consumed while a read is pending.
+  socket_.async_read_some(asio::buffer(read_buffer_),
+                          [self = shared_from_this()](error_code error, std::size_t bytes) {
                             self->reading_ = false;
                             if (self->closed_) return;
-                            if (failed) return self->close();
-                            if (!self->lingering_) self->in_.append(self->chunk_.data(), n);
+                            if (error) return self->close();
+                            if (!self->lingering_) self->input_.append(self->read_buffer_.data(), bytes);
                             self->read();
-                            self->take_in_next_turn();
+                            self->schedule_processing();
                           });
 }
 
-// A close that came with the bytes is seen before: what a client has given up while this process stood still is not
-// begun.
-void Session::take_in_next_turn() {
-  if (std::exchange(taking_, true)) return;
+// Deferred, so that a close that arrived together with the data is seen first: requests that a client
+// abandoned while this process was stalled are not started.
+void Session::schedule_processing() {
+  if (std::exchange(processing_scheduled_, true)) return;
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
-    self->taking_ = false;
+    self->processing_scheduled_ = false;
     if (self->closed_) return;
-    self->take();
+    self->process_input();
     self->read();
   });
 }
 
-// While nothing more is read, a close behind what was not read must show all the same.
-void Session::watch_for_close() {
-  if (std::exchange(watching_, true)) return;
-  timers_.after(kCloseWatch, [self = shared_from_this()] {
-    self->watching_ = false;
+// Detects that the client has closed its connection while its unread data hides the end of the stream.
+void Session::schedule_close_check() {
+  if (std::exchange(close_check_scheduled_, true)) return;
+  timers_.after(kCloseCheckInterval, [self = shared_from_this()] {
+    self->close_check_scheduled_ = false;
     if (self->closed_) return;
     pollfd state{self->socket_.native_handle(), POLLRDHUP, 0};
     if (::poll(&state, 1, 0) > 0 && (state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0)
@@ -81,189 +82,196 @@
   });
 }
 
-// Hands over whole requests as long as there are any and they may be under way.
-void Session::take() {
-  while (!closed_ && !whole_ && keep_ && slots_.size() < kTogether) {
+// Dispatches complete requests while the pipeline accepts more.
+void Session::process_input() {
+  while (!closed_ && !request_ready_ && keep_alive_ && pipeline_.size() < kMaxPipelinedRequests) {
     if (!in_body_ && !read_head()) return;
-    if (!take_body()) return;
-    in_body_ = false, whole_ = true;
-    timers_.cancel(limit_);
+    if (!read_body()) return;
+    in_body_ = false, request_ready_ = true;
+    timers_.cancel(timeout_);
     if (request_.has_body) {
       request_.head += "Content-Length: " + std::to_string(body_.size()) + "\r\n";
       request_.body = std::make_shared<const std::string>(std::move(body_));
       body_ = {};
     }
-    begin();
+    dispatch();
   }
 }
 
-void Session::begin() {
-  const bool repeatable = host_->is_repeatable(request_);
-  // Until it is alone: in a drain as well, so that no answer is held behind a longer request at the end.
-  if (!slots_.empty() && (host_->draining() || !(repeatable && repeatable_))) return;
-  repeatable_ = repeatable, whole_ = false;
-  const auto number = ++numbers_;
-  slots_.push_back({number, false, !keep_, {}, 0});
-  host_->on_request(shared_from_this(), number, std::move(request_));
+void Session::dispatch() {
+  const bool repeatable = handler_->is_repeatable(request_);
+  // Waits until it is the only open request. During a drain this also keeps finished responses from being
+  // blocked behind a longer request when the process ends.
+  if (!pipeline_.empty() && (handler_->draining() || !(repeatable && pipeline_repeatable_))) return;
+  pipeline_repeatable_ = repeatable, request_ready_ = false;
+  const auto number = ++last_number_;
+  pipeline_.push_back({number, false, !keep_alive_, {}, 0});
+  handler_->on_request(shared_from_this(), number, std::move(request_));
 }
 
 bool Session::read_head() {
-  const auto limits = host_->limits();
+  const auto limits = handler_->limits();
   http::Head head;
-  const auto r = http::parse_request_head(in_, limits.header_bytes, head);
-  if (r.status == http::ParseStatus::incomplete) {
-    if (!in_.empty() && !limit_ && slots_.empty()) wait_for(limits.header_ms, false);
+  const auto parsed = http::parse_request_head(input_, limits.header_bytes, head);
+  if (parsed.status == http::ParseStatus::incomplete) {
+    if (!input_.empty() && !timeout_ && pipeline_.empty()) arm_read_timeout(limits.header_ms, false);
     return false;
   }
-  if (r.status == http::ParseStatus::malformed) return refuse({400}), false;
-  if (r.status != http::ParseStatus::complete) return refuse(host_->denial(431)), false;
+  if (parsed.status == http::ParseStatus::malformed) return reject({400}), false;
+  if (parsed.status != http::ParseStatus::complete) return reject(handler_->rejection(431)), false;
   const auto kind = http::request_body_kind(head);
-  const auto host = head.only("Host");
-  const auto id = head.only("Attempt-Id");
-  if (!kind || !host || !id || id->empty()) return refuse({400}), false;
+  const auto host = head.unique("Host");
+  const auto id = head.unique("Attempt-Id");
+  if (!kind || !host || !id || id->empty()) return reject({400}), false;
   if (kind->coding == stream::Coding::length && kind->length > limits.body_bytes)
-    return refuse(host_->denial(413)), false;
+    return reject(handler_->rejection(413)), false;
   request_ = {};
   request_.method = head.method, request_.target = head.target, request_.host = *host,
   request_.attempt_id = *id;
-  if (const auto key = head.only("Key")) request_.key = *key;
-  if (const auto ms = head.only("Deadline")) request_.deadline_ms = http::number(*ms);
-  auto& to = request_.head;
-  to.reserve(r.used + 160);
-  to.append(head.method).append(" ").append(head.target).append(" HTTP/1.1\r\n");
-  for (const auto& f : head.fields) {
-    if (http::is_hop(f.name, head) || http::same(f.name, "Key") || http::same(f.name, "Tenant") ||
-        http::same(f.name, "Deadline") || http::same(f.name, "Want-Instance"))
+  if (const auto key = head.unique("Key")) request_.key = *key;
+  if (const auto ms = head.unique("Deadline")) request_.deadline_ms = http::parse_decimal(*ms);
+  auto& forwarded = request_.head;
+  forwarded.reserve(parsed.consumed + 160);
+  forwarded.append(head.method).append(" ").append(head.target).append(" HTTP/1.1\r\n");
+  for (const auto& field : head.fields) {
+    if (http::is_hop_by_hop(field.name, head) || http::equals_ignore_case(field.name, "Key") ||
+        http::equals_ignore_case(field.name, "Tenant") || http::equals_ignore_case(field.name, "Deadline") ||
+        http::equals_ignore_case(field.name, "Want-Instance"))
       continue;
-    to.append(f.name).append(": ").append(f.value).append("\r\n");
+    forwarded.append(field.name).append(": ").append(field.value).append("\r\n");
   }
-  keep_ = head.keeps_alive();
+  keep_alive_ = head.keeps_alive();
   request_.has_body = kind->coding != stream::Coding::none;
-  const bool asks = request_.has_body && head.lists("Expect", "100-continue");
+  const bool expects_continue = request_.has_body && head.has_token("Expect", "100-continue");
   decoder_ = BodyDecoder(*kind);
   body_.clear();
   in_body_ = true;
-  in_.erase(0, r.used);
-  if (asks && in_.empty()) {
-    static const std::string go_on = "HTTP/1.1 100 Continue\r\n\r\n";
+  input_.erase(0, parsed.consumed);
+  if (expects_continue && input_.empty()) {
+    static const std::string continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
     error_code ignored;
-    asio::write(socket_, asio::buffer(go_on), ignored);
+    asio::write(socket_, asio::buffer(continue_response), ignored);
   }
   return true;
 }
 
-bool Session::take_body() {
+bool Session::read_body() {
   std::size_t used = 0;
-  const auto limit = host_->limits().body_bytes;
+  const auto limit = handler_->limits().body_bytes;
   while (!decoder_.done()) {
-    const auto step = decoder_.next(std::string_view(in_).substr(used));
-    if (step.status == BodyDecoder::Status::bad) return refuse({400}), false;
+    const auto step = decoder_.next(std::string_view(input_).substr(used));
+    if (step.status == BodyDecoder::Status::bad) return reject({400}), false;
     body_.append(step.data);
     used += step.used;
-    if (body_.size() > limit) return refuse(host_->denial(413)), false;
+    if (body_.size() > limit) return reject(handler_->rejection(413)), false;
     if (step.status == BodyDecoder::Status::more) break;
   }
-  in_.erase(0, used);
+  input_.erase(0, used);
   return decoder_.done();
 }
 
-void Session::answer(std::uint64_t number, std::string reply, std::size_t body_at) {
+void Session::respond(std::uint64_t number, std::string response, std::size_t fields_end) {
   if (closed_) return;
-  for (auto& slot : slots_) {
-    if (slot.number != number || slot.done) continue;
-    slot.done = true, slot.reply = std::move(reply), slot.body_at = body_at;
+  for (auto& pipelined : pipeline_) {
+    if (pipelined.number != number || pipelined.done) continue;
+    pipelined.done = true, pipelined.response = std::move(response), pipelined.fields_end = fields_end;
     break;
   }
-  write_next();
+  write_next_response();
 }
 
-void Session::answer(std::uint64_t number, const OwnAnswer& own) {
-  std::string reply = "HTTP/1.1 " + std::to_string(own.status) + " " + std::string(http::reason(own.status)) +
-                      "\r\n";
-  reply += "Content-Length: 0\r\n";
-  if (own.retry_after > Duration{}) {
+void Session::respond(std::uint64_t number, const LocalReply& reply) {
+  std::string response = "HTTP/1.1 " + std::to_string(reply.status) + " " +
+                         std::string(http::reason_phrase(reply.status)) + "\r\n";
+  response += "Content-Length: 0\r\n";
+  if (reply.retry_after > Duration{}) {
     char text[32];
-    std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", seconds(own.retry_after));
-    reply += text;
+    std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", seconds(reply.retry_after));
+    response += text;
   }
-  const auto at = reply.size();
-  reply += "\r\n";
-  answer(number, std::move(reply), at);
+  const auto fields_end = response.size();
+  response += "\r\n";
+  respond(number, std::move(response), fields_end);
 }
 
-// Of a request that can't be read: the connection ends, behind the answers to those before it.
-void Session::refuse(const OwnAnswer& why) {
+// Replies to a request that can't be parsed or is too large, and closes the connection after that response.
+void Session::reject(const LocalReply& reply) {
   if (closed_) return;
-  keep_ = false;
-  timers_.cancel(limit_);
-  const auto number = ++numbers_;
-  slots_.push_back({number, false, true, {}, 0});
-  answer(number, why);
+  keep_alive_ = false;
+  timers_.cancel(timeout_);
+  const auto number = ++last_number_;
+  pipeline_.push_back({number, false, true, {}, 0});
+  respond(number, reply);
 }
 
-void Session::write_next() {
-  if (writing_ || closed_ || slots_.empty() || !slots_.front().done) return;
-  auto& slot = slots_.front();
-  // What stands behind an answer that closes the connection counts as not read, and is sent again elsewhere.
-  const bool last = slot.last || (host_->draining() && slots_.size() == 1);
-  if (last) slot.reply.insert(slot.body_at, "Connection: close\r\n"), keep_ = false;
-  out_ = std::move(slot.reply);
+void Session::write_next_response() {
+  if (writing_ || closed_ || pipeline_.empty() || !pipeline_.front().done) return;
+  auto& pipelined = pipeline_.front();
+  // Clients treat requests behind a response that closes the connection as unread and retry them elsewhere.
+  const bool last = pipelined.last || (handler_->draining() && pipeline_.size() == 1);
+  if (last) pipelined.response.insert(pipelined.fields_end, "Connection: close\r\n"), keep_alive_ = false;
+  output_ = std::move(pipelined.response);
   writing_ = true;
-  timers_.cancel(limit_);
-  limit_ = timers_.after(kWrite, [self = shared_from_this()] { self->limit_.reset(), self->close(); });
+  timers_.cancel(timeout_);
+  timeout_ = timers_.after(kWriteTimeout,
+                           [self = shared_from_this()] { self->timeout_.reset(), self->close(); });
   asio::async_write(
-      socket_, asio::buffer(out_), [self = shared_from_this(), last](error_code failed, std::size_t) {
+      socket_, asio::buffer(output_), [self = shared_from_this(), last](error_code error, std::size_t) {
         self->writing_ = false;
         if (self->closed_) return;
-        self->timers_.cancel(self->limit_);
-        self->slots_.pop_front();
-        self->out_ = {};
-        if (failed) return self->close();
-        if (last) return self->end_sending();
-        if (self->whole_) self->begin();
-        self->take();
+        self->timers_.cancel(self->timeout_);
+        self->pipeline_.pop_front();
+        self->output_ = {};
+        if (error) return self->close();
+        if (last) return self->finish_sending();
+        if (self->request_ready_) self->dispatch();
+        self->process_input();
         if (self->closed_) return;
-        if (self->slots_.empty()) {
-          const bool idle = self->in_.empty() && !self->in_body_;
-          self->wait_for(idle ? self->host_->limits().idle_ms : self->host_->limits().header_ms, idle);
+        if (self->pipeline_.empty()) {
+          const bool idle = self->input_.empty() && !self->in_body_;
+          self->arm_read_timeout(idle ? self->handler_->limits().idle_ms : self->handler_->limits().header_ms,
+                                 idle);
         }
-        self->write_next();
+        self->write_next_response();
         self->read();
       });
 }
 
-std::size_t Session::answers_held() const {
-  if (slots_.empty()) return 0;
+std::size_t Session::blocked_responses() const {
+  if (pipeline_.empty()) return 0;
   return static_cast<std::size_t>(
-      std::count_if(std::next(slots_.begin()), slots_.end(), [](const Slot& slot) { return slot.done; }));
+      std::count_if(std::next(pipeline_.begin()), pipeline_.end(),
+                    [](const PipelinedRequest& pipelined) { return pipelined.done; }));
 }
 
-// Behind the last answer. Nothing stands behind it outside a drain, but where the client has asked for the close.
-void Session::end_sending() {
+// Ends the connection after the last response. Outside a drain no request can follow it, unless the client
+// itself has asked for the close.
+void Session::finish_sending() {
   error_code ignored;
   socket_.shutdown(Tcp::socket::shutdown_send, ignored);
-  if (!host_->draining()) return close();
+  if (!handler_->draining()) return close();
   lingering_ = true;
-  in_.clear();
-  limit_ = timers_.after(kLinger, [self = shared_from_this()] { self->limit_.reset(), self->close(); });
+  input_.clear();
+  timeout_ = timers_.after(kLingerTime,
+                           [self = shared_from_this()] { self->timeout_.reset(), self->close(); });
   read();
 }
 
 void Session::close_if_idle() {
   if (lingering_) return;
-  if (slots_.empty() && in_.empty() && !in_body_ && !whole_) close();
+  if (pipeline_.empty() && input_.empty() && !in_body_ && !request_ready_) close();
 }
 
-void Session::take_no_more() {
-  keep_ = false;
-  if (slots_.empty() && !lingering_) close();
+void Session::close_after_responses() {
+  keep_alive_ = false;
+  if (pipeline_.empty() && !lingering_) close();
 }
 
 void Session::close() {
   if (std::exchange(closed_, true)) return;
-  timers_.cancel(limit_);
+  timers_.cancel(timeout_);
   snowknot::close_now(socket_);
-  if (auto* h = std::exchange(host_, nullptr)) h->on_ended(shared_from_this());
+  if (auto* handler = std::exchange(handler_, nullptr)) handler->on_closed(shared_from_this());
 }
 
 }  // namespace docklift::proxy
--- a/src/system/proxy/session.hpp
+++ b/src/system/proxy/session.hpp
@@ -1,8 +1,9 @@
-// A client's connection: whole requests are read and handed over in order; answers go out in that order.
-// A client that closes its sending half counts as gone, as its close can't be told from that of the whole connection.
-// Repeatable requests that are sent behind each other are under way together; any other one waits until it is
-// alone, as a client sends again, whatever its kind, what stands behind an answer that closes the connection. In a drain
-// each one waits until it is alone, and the first answer closes the connection.
+// A client's connection with HTTP/1.1 pipelining: complete requests are handed to the handler in order, and
+// their responses are written in that order. A client that closes its sending half counts as disconnected,
+// since that can't be distinguished from closing the whole connection. Pipelined requests run concurrently
+// while all of them are repeatable. Any other request waits until it is the only one, because a client
+// retries every request, of any kind, that follows a response that closes the connection. During a drain each
+// request waits until it is the only one, and the next response closes the connection.
 #pragma once
 
 #include <array>
@@ -18,82 +19,85 @@
 
 namespace docklift::proxy {
 
+// A complete request as parsed from the client.
 struct Request {
   std::string method, target, host, attempt_id, key,
-      head;  // `head`: what goes on to a server, without what is the proxy's to say
-  std::shared_ptr<const std::string> body;  // null: none
+      head;  // `head`: request line and fields for the server, without the fields that the proxy sets itself
+  std::shared_ptr<const std::string> body;  // null: no body
   bool has_body = false;
   std::optional<double> deadline_ms;
 };
 
-// An answer of the proxy's own.
-struct OwnAnswer {
+// A response that the proxy generates itself.
+struct LocalReply {
   int status = 503;
-  Duration retry_after{};  // 0: not told
+  Duration retry_after{};  // 0: no Retry-After
 };
 
 class Session : public std::enable_shared_from_this<Session> {
  public:
-  struct Host {
-    virtual ~Host() = default;
+  // Handles the requests of a session; outlives it.
+  struct Handler {
+    virtual ~Handler() = default;
     virtual configuration::Limits limits() const = 0;
-    // What a request gets that the limits here don't allow: `status`, or 503 where they may not be the newest.
-    virtual OwnAnswer denial(int status) const = 0;
+    // The reply to a request that violates the local configuration: `status`, or 503 if that may be outdated.
+    virtual LocalReply rejection(int status) const = 0;
     virtual bool draining() const = 0;
     virtual void on_request(const std::shared_ptr<Session>& session, std::uint64_t number,
                             Request request) = 0;
     virtual bool is_repeatable(const Request& request) const = 0;
-    // The connection has ended; of requests that are still under way nobody takes the answer.
-    virtual void on_ended(const std::shared_ptr<Session>& session) = 0;
+    // The connection is closed. Responses to requests that are still open are discarded.
+    virtual void on_closed(const std::shared_ptr<Session>& session) = 0;
   };
-  Session(Host& host, snowknot::Timers& timers, Socket socket);
+  Session(Handler& handler, snowknot::Timers& timers, Socket socket);
 
   void start();
-  // The answer to a request: whole, with the place where its fields end. Once for each number.
-  void answer(std::uint64_t number, std::string reply, std::size_t body_at);
-  void answer(std::uint64_t number, const OwnAnswer& own);
-  // The process is to end. `close_if_idle`: closes unless a request, or a part of one, has been read.
-  // `take_no_more`: closes unless answers are owed; behind the last of these.
+  // Sends the complete response to a request. `fields_end`: offset of the end of its header fields. Called
+  // once for each number.
+  void respond(std::uint64_t number, std::string response, std::size_t fields_end);
+  void respond(std::uint64_t number, const LocalReply& reply);
+  // Closes the connection unless a request, or part of one, has been read.
   void close_if_idle();
-  void take_no_more();
+  // Reads no more requests, and closes the connection after the last outstanding response.
+  void close_after_responses();
   void close();
-  bool has_requests() const { return !slots_.empty(); }  // under way
-  // Answers that wait until those to the requests before theirs have been written.
-  std::size_t answers_held() const;
+  bool has_requests() const { return !pipeline_.empty(); }  // open ones
+  // Number of responses that wait for responses to earlier requests.
+  std::size_t blocked_responses() const;
 
  private:
   void read();
-  void take_in_next_turn();
-  void watch_for_close();
-  void take();
-  bool take_body();
-  void begin();
-  void write_next();
-  void end_sending();
+  void schedule_processing();
+  void schedule_close_check();
+  void process_input();
+  bool read_body();
+  void dispatch();
+  void write_next_response();
+  void finish_sending();
   bool read_head();
-  void refuse(const OwnAnswer& why);
-  void wait_for(double ms, bool idle);
+  void reject(const LocalReply& reply);
+  void arm_read_timeout(double ms, bool idle);
 
-  Host* host_;
+  Handler* handler_;
   snowknot::Timers& timers_;
   Socket socket_;
-  std::array<char, 4096> chunk_;
-  std::string in_, out_;
-  struct Slot {
+  std::array<char, 4096> read_buffer_;
+  std::string input_, output_;
+  struct PipelinedRequest {
     std::uint64_t number = 0;
-    bool done = false, last = false;  // last: the connection ends with it
-    std::string reply;
-    std::size_t body_at = 0;
+    bool done = false, last = false;  // last: its response closes the connection
+    std::string response;
+    std::size_t fields_end = 0;
   };
-  std::deque<Slot> slots_;  // requests under way, in order
-  std::uint64_t numbers_ = 0;
+  std::deque<PipelinedRequest> pipeline_;  // open requests, in order
+  std::uint64_t last_number_ = 0;
   Request request_;
-  bool whole_ = false;  // request_ is read, and waits to be alone
+  bool request_ready_ = false;  // request_ is complete and waits to be dispatched
   stream::BodyDecoder decoder_;
   std::string body_;
-  bool reading_ = false, in_body_ = false, repeatable_ = true, keep_ = true, closed_ = false,
-       writing_ = false, taking_ = false, watching_ = false, lingering_ = false;
-  snowknot::Timers::Handle limit_;
+  bool reading_ = false, in_body_ = false, pipeline_repeatable_ = true, keep_alive_ = true, closed_ = false,
+       writing_ = false, processing_scheduled_ = false, close_check_scheduled_ = false, lingering_ = false;
+  snowknot::Timers::Handle timeout_;
 };
 
 }  // namespace docklift::proxy
--- a/src/system/proxy/upstream.cpp
+++ b/src/system/proxy/upstream.cpp
@@ -11,32 +11,38 @@
 using stream::BodyDecoder;
 
 namespace {
-constexpr Duration kConnect = 450ms;  // twice the way to another region and back, and a full queue's patience
-constexpr Duration kPeerTimeout = 1500ms;  // sent bytes without a word from the other machine
-constexpr Duration kIdle = 4s;        // an idle connection is kept so long where the server tells nothing
-constexpr Duration kIdleMargin = 1s;  // less than the server tells: a request must not cross its close
-constexpr std::size_t kHead = 16384, kBody = 8u << 20;  // bytes of an answer that are held
-constexpr std::size_t kSurplus = 4;                     // answers to other requests that are passed over
+// Two round trips to another region, plus the wait in a full accept queue.
+constexpr Duration kConnectTimeout = 450ms;
+// How long sent data may stay unacknowledged before the connection is considered broken.
+constexpr Duration kPeerTimeout = 1500ms;
+// How long an idle connection is kept if the server sends no Keep-Alive timeout.
+constexpr Duration kDefaultIdleTimeout = 4s;
+// Subtracted from the server's timeout, so that a request doesn't race with the server's close.
+constexpr Duration kIdleMargin = 1s;
+constexpr std::size_t kMaxHeadBytes = 16384, kMaxBodyBytes = 8u << 20;  // of a response
+constexpr std::size_t kMaxUnmatchedResponses = 4;  // responses to other requests that are skipped per attempt
 }  // namespace
 
+// A connection to a server, with at most one attempt at a time.
 struct Upstream::Connection : std::enable_shared_from_this<Connection> {
-  Connection(Upstream& owner, ServerHandle to) : up(&owner), server(to), socket(owner.io_.get_executor()) {}
+  Connection(Upstream& owner, ServerHandle to)
+      : upstream(&owner), server(to), socket(owner.io_.get_executor()) {}
 
   void connect(const std::string& address) {
-    const auto at = snowknot::endpoint_of(address);
-    if (!at)
+    const auto endpoint = snowknot::endpoint_of(address);
+    if (!endpoint)
       return asio::post(socket.get_executor(),
-                        [self = shared_from_this()] { self->end(Outcome::connect_failed); });
-    limit = up->timers_.after(
-        std::min(kConnect, std::max<Duration>(attempt.deadline - up->timers_.now(), 1ms)),
+                        [self = shared_from_this()] { self->fail(Outcome::connect_failed); });
+    timer = upstream->timers_.after(
+        std::min(kConnectTimeout, std::max<Duration>(attempt.deadline - upstream->timers_.now(), 1ms)),
         [self = shared_from_this()] {
-          self->limit.reset();
-          self->end(Outcome::connect_failed);
+          self->timer.reset();
+          self->fail(Outcome::connect_failed);
         });
-    socket.async_connect(*at, [self = shared_from_this()](error_code failed) {
+    socket.async_connect(*endpoint, [self = shared_from_this()](error_code error) {
       if (self->closed) return;
-      self->up->timers_.cancel(self->limit);
-      if (failed) return self->end(Outcome::connect_failed);
+      self->upstream->timers_.cancel(self->timer);
+      if (error) return self->fail(Outcome::connect_failed);
       snowknot::set_no_delay(self->socket);
       set_peer_timeout(self->socket, kPeerTimeout);
       self->send();
@@ -45,224 +51,232 @@
   }
 
   void send() {
-    const Time now = up->timers_.now();
+    const Time now = upstream->timers_.now();
     if (now >= attempt.deadline || now >= attempt.valid_until)
       return asio::post(socket.get_executor(),
-                        [self = shared_from_this()] { self->end(Outcome::connect_failed); });
+                        [self = shared_from_this()] { self->fail(Outcome::connect_failed); });
     sent = true;
     sent_at = now;
-    skipped = 0;
-    limit = up->timers_.at(attempt.deadline, [self = shared_from_this()] {
-      self->limit.reset();
-      self->end(Outcome::timeout);
+    unmatched_count = 0;
+    timer = upstream->timers_.at(attempt.deadline, [self = shared_from_this()] {
+      self->timer.reset();
+      self->fail(Outcome::timeout);
     });
-    out = attempt.head + "\r\n";
-    if (attempt.body) out += *attempt.body;
+    output = attempt.head + "\r\n";
+    if (attempt.body) output += *attempt.body;
     writing = true;
-    asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code failed, std::size_t) {
-      self->writing = false;
-      // A server may answer and close before it has read all; what it said is read first.
-      if (failed && !self->closed) self->write_failed = true;
-    });
+    asio::async_write(socket, asio::buffer(output),
+                      [self = shared_from_this()](error_code error, std::size_t) {
+                        self->writing = false;
+                        // A server may respond and close before it has read the whole request; its response
+                        // is read first.
+                        if (error && !self->closed) self->write_failed = true;
+                      });
   }
 
-  // One read is always out: an idle connection must show what comes on it.
+  // A read is always pending, so that data or a close on an idle connection is noticed.
   void read() {
-    const auto had = in.size();
-    in.resize(had + 4096);
-    socket.async_read_some(asio::buffer(in.data() + had, 4096),
-                           [self = shared_from_this(), had](error_code failed, std::size_t n) {
+    const auto old_size = input.size();
+    input.resize(old_size + 4096);
+    socket.async_read_some(asio::buffer(input.data() + old_size, 4096),
+                           [self = shared_from_this(), old_size](error_code error, std::size_t bytes) {
                              if (self->closed) return;
-                             self->in.resize(had + n);
-                             self->took_in(failed);
+                             self->input.resize(old_size + bytes);
+                             self->on_read(error);
                            });
   }
 
-  void took_in(error_code failed) {
-    if (!busy) return close();  // bytes or an end on an idle connection
-    if (take()) return;
-    if (failed) return end(Outcome::reset);
+  void on_read(error_code error) {
+    if (!busy) return close();  // unexpected data or end of stream on an idle connection
+    if (parse_response()) return;
+    if (error) return fail(Outcome::reset);
     read();
   }
 
-  // True when the attempt has ended.
-  bool take() {
+  // Returns true when the attempt has ended.
+  bool parse_response() {
     while (true) {
       http::Head head;
-      const auto r = http::parse_response_head(in, kHead, head);
-      if (r.status == http::ParseStatus::incomplete) return false;
-      if (r.status != http::ParseStatus::complete) return end(Outcome::garbled), true;
+      const auto parsed = http::parse_response_head(input, kMaxHeadBytes, head);
+      if (parsed.status == http::ParseStatus::incomplete) return false;
+      if (parsed.status != http::ParseStatus::complete) return fail(Outcome::garbled), true;
       if (head.status < 200) {
-        in.erase(0, r.used);
+        input.erase(0, parsed.consumed);
         continue;
       }
       const auto kind = http::response_body(head, attempt.method);
-      if (!kind || kind->to_end || (kind->kind.coding == stream::Coding::length && kind->kind.length > kBody))
-        return end(Outcome::garbled), true;
-      std::string_view rest = std::string_view(in).substr(r.used);
+      if (!kind || kind->to_end ||
+          (kind->kind.coding == stream::Coding::length && kind->kind.length > kMaxBodyBytes))
+        return fail(Outcome::garbled), true;
+      std::string_view rest = std::string_view(input).substr(parsed.consumed);
       if (kind->kind.coding == stream::Coding::length && rest.size() < kind->kind.length) return false;
       BodyDecoder decoder(kind->kind);
       std::string body;
       while (!decoder.done()) {
         const auto step = decoder.next(rest);
-        if (step.status == BodyDecoder::Status::bad) return end(Outcome::garbled), true;
+        if (step.status == BodyDecoder::Status::bad) return fail(Outcome::garbled), true;
         body.append(step.data);
         rest.remove_prefix(step.used);
-        if (body.size() > kBody) return end(Outcome::garbled), true;
+        if (body.size() > kMaxBodyBytes) return fail(Outcome::garbled), true;
         if (step.status == BodyDecoder::Status::more) return false;
       }
-      const auto id = head.only("Attempt-Id");
-      if (id ? *id != attempt.attempt_id : head.has("Attempt-Id")) {  // an answer to another request
-        surplus = true;
-        if (++skipped > kSurplus) return end(Outcome::garbled), true;
-        in.erase(0, in.size() - rest.size());
-        if (in.empty()) return false;
+      const auto id = head.unique("Attempt-Id");
+      if (id ? *id != attempt.attempt_id : head.has("Attempt-Id")) {  // belongs to another request
+        unmatched_response = true;
+        if (++unmatched_count > kMaxUnmatchedResponses) return fail(Outcome::garbled), true;
+        input.erase(0, input.size() - rest.size());
+        if (input.empty()) return false;
         continue;
       }
-      finish(head, kind->kind.coding, body, !rest.empty());
+      deliver_response(head, kind->kind.coding, body, !rest.empty());
       return true;
     }
   }
 
-  void finish(const http::Head& head, stream::Coding coding, const std::string& body, bool more) {
-    Answered a;
-    a.status = head.status;
-    a.outcome = judge(head);
-    a.reply = "HTTP/1.1 " + std::to_string(head.status) + " " + std::string(http::reason(head.status)) +
-              "\r\n";
-    for (const auto& f : head.fields) {
-      if (http::is_hop(f.name, head)) continue;
-      a.reply.append(f.name).append(": ").append(f.value).append("\r\n");
+  void deliver_response(const http::Head& head, stream::Coding coding, const std::string& body,
+                        bool has_more_input) {
+    AttemptResult result;
+    result.status = head.status;
+    result.outcome = classify(head);
+    result.response = "HTTP/1.1 " + std::to_string(head.status) + " " +
+                      std::string(http::reason_phrase(head.status)) + "\r\n";
+    for (const auto& field : head.fields) {
+      if (http::is_hop_by_hop(field.name, head)) continue;
+      result.response.append(field.name).append(": ").append(field.value).append("\r\n");
     }
     if (coding != stream::Coding::none || (head.status != 204 && head.status != 304))
-      a.reply += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-    a.body_at = a.reply.size();
-    a.reply += "\r\n";
-    a.reply += body;
-    keep_for = kIdle;
-    if (const auto told = head.only("Keep-Alive")) {
-      const auto at = told->find("timeout=");
-      std::string_view digits = at == std::string_view::npos ? *told : told->substr(at + 8);
+      result.response += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    result.fields_end = result.response.size();
+    result.response += "\r\n";
+    result.response += body;
+    idle_timeout = kDefaultIdleTimeout;
+    if (const auto keep_alive = head.unique("Keep-Alive")) {
+      const auto parameter = keep_alive->find("timeout=");
+      std::string_view digits = parameter == std::string_view::npos ? *keep_alive
+                                                                    : keep_alive->substr(parameter + 8);
       digits = digits.substr(0, digits.find_first_not_of("0123456789"));
-      if (const auto s = http::number(digits))
-        keep_for = std::max(Duration{}, from_seconds(*s) - kIdleMargin);
+      if (const auto timeout_s = http::parse_decimal(digits))
+        idle_timeout = std::max(Duration{}, from_seconds(*timeout_s) - kIdleMargin);
     }
-    const bool reusable = head.keeps_alive() && !more && !surplus && !writing && !write_failed &&
-                          keep_for > Duration{};
-    done_with(std::move(a), reusable);
+    const bool reusable = head.keeps_alive() && !has_more_input && !unmatched_response && !writing &&
+                          !write_failed && idle_timeout > Duration{};
+    finish(std::move(result), reusable);
   }
 
-  Outcome judge(const http::Head& head) const {
+  Outcome classify(const http::Head& head) const {
     if (head.status == 421) return Outcome::other_instance;
     if (head.has("Not-Run")) return Outcome::not_run;
     if (head.status >= 200 && head.status < 300) {
-      const bool whole = head.has("Seal") && head.only("Attempt-Id") == attempt.attempt_id &&
-                         !head.has("Content-Encoding");
-      return whole ? Outcome::ok : Outcome::garbled;
+      const bool complete = head.has("Seal") && head.unique("Attempt-Id") == attempt.attempt_id &&
+                            !head.has("Content-Encoding");
+      return complete ? Outcome::ok : Outcome::garbled;
     }
     if (head.status >= 500 || head.status == 429 || head.status == 408) return Outcome::error;
-    return Outcome::ok;  // its own word about the request: it is passed on
+    return Outcome::ok;  // the server's own response, passed on to the client
   }
 
-  void end(Outcome outcome) {
+  void fail(Outcome outcome) {
     if (!busy) return close();
-    Answered a;
-    a.outcome = outcome;
-    done_with(std::move(a), false);
+    AttemptResult result;
+    result.outcome = outcome;
+    finish(std::move(result), false);
   }
 
-  void done_with(Answered a, bool reusable) {
-    up->timers_.cancel(limit);
+  void finish(AttemptResult result, bool reusable) {
+    upstream->timers_.cancel(timer);
     busy = false;
-    a.took = up->timers_.now() - sent_at;
-    const auto told = std::exchange(done, nullptr);
+    result.elapsed = upstream->timers_.now() - sent_at;
+    const auto callback = std::exchange(on_done, nullptr);
     const auto self = shared_from_this();
     if (reusable) {
-      in.clear();
-      up->pools_[server].idle.push_back(self);
-      limit = up->timers_.after(keep_for, [self] {
-        self->limit.reset();
+      input.clear();
+      upstream->pools_[server].idle.push_back(self);
+      timer = upstream->timers_.after(idle_timeout, [self] {
+        self->timer.reset();
         self->close();
       });
       read();
     } else {
       close();
     }
-    told(std::move(a));
+    callback(std::move(result));
   }
 
   void abandon() {
     busy = false;
-    done = nullptr;
+    on_done = nullptr;
     close();
   }
 
   void close() {
     if (std::exchange(closed, true)) return;
     const auto self = shared_from_this();
-    if (up) {
-      up->timers_.cancel(limit);
-      up->drop(self);
+    if (upstream) {
+      upstream->timers_.cancel(timer);
+      upstream->drop(self);
     }
     snowknot::close_now(socket);
   }
 
-  Upstream* up;
+  Upstream* upstream;
   ServerHandle server;
   Socket socket;
   Attempt attempt;
-  Done done;
-  std::string in, out;
+  Done on_done;
+  std::string input, output;
   Time sent_at{};
-  Duration keep_for = kIdle;
-  snowknot::Timers::Handle limit;
+  Duration idle_timeout = kDefaultIdleTimeout;
+  snowknot::Timers::Handle timer;
   std::uint64_t number = 0;  // of the attempt
-  bool busy = true, sent = false, closed = false, surplus = false, writing = false, write_failed = false;
-  std::size_t skipped = 0;
+  bool busy = true, sent = false, closed = false, unmatched_response = false, writing = false,
+       write_failed = false;
+  std::size_t unmatched_count = 0;
 };
 
 Upstream::Upstream(asio::io_context& io, snowknot::Timers& timers) : io_(io), timers_(timers) {}
 
 Upstream::~Upstream() {
-  for (const auto& c : std::exchange(all_, {})) {
-    timers_.cancel(c->limit);
-    c->up = nullptr, c->closed = true, c->done = nullptr;
-    snowknot::close_now(c->socket);
+  for (const auto& connection : std::exchange(all_, {})) {
+    timers_.cancel(connection->timer);
+    connection->upstream = nullptr, connection->closed = true, connection->on_done = nullptr;
+    snowknot::close_now(connection->socket);
   }
 }
 
-Upstream::Handle Upstream::start(Attempt attempt, Done done) {
+Upstream::Handle Upstream::start(Attempt attempt, Done on_done) {
   const auto number = ++attempts_;
   auto& pool = pools_[attempt.server];
   if (pool.address != attempt.address) {
-    for (const auto& c : std::exchange(pool.idle, {})) c->close();
+    for (const auto& connection : std::exchange(pool.idle, {})) connection->close();
     pool.address = attempt.address;
   }
   if (!pool.idle.empty()) {
-    const auto c = pool.idle.back();
+    const auto connection = pool.idle.back();
     pool.idle.pop_back();
-    timers_.cancel(c->limit);
-    c->number = number;
-    c->busy = true, c->sent = false, c->attempt = std::move(attempt), c->done = std::move(done);
-    c->send();
-    return {c, number};
+    timers_.cancel(connection->timer);
+    connection->number = number;
+    connection->busy = true, connection->sent = false, connection->attempt = std::move(attempt),
+    connection->on_done = std::move(on_done);
+    connection->send();
+    return {connection, number};
   }
-  const auto c = std::make_shared<Connection>(*this, attempt.server);
-  all_.insert(c);
+  const auto connection = std::make_shared<Connection>(*this, attempt.server);
+  all_.insert(connection);
   ++open_;
-  c->number = number;
-  c->attempt = std::move(attempt), c->done = std::move(done);
-  c->sent_at = timers_.now();
-  c->connect(c->attempt.address);
-  return {c, number};
+  connection->number = number;
+  connection->attempt = std::move(attempt), connection->on_done = std::move(on_done);
+  connection->sent_at = timers_.now();
+  connection->connect(connection->attempt.address);
+  return {connection, number};
 }
 
 std::optional<Outcome> Upstream::cancel(const Handle& attempt, bool unsent_only) {
-  const auto c = attempt.connection.lock();
-  if (!c || c->closed || !c->busy || c->number != attempt.number) return std::nullopt;
-  if (unsent_only && c->sent) return std::nullopt;
-  const auto outcome = c->sent ? Outcome::cancelled : Outcome::cancelled_unsent;
-  c->abandon();
+  const auto connection = attempt.connection.lock();
+  if (!connection || connection->closed || !connection->busy || connection->number != attempt.number)
+    return std::nullopt;
+  if (unsent_only && connection->sent) return std::nullopt;
+  const auto outcome = connection->sent ? Outcome::cancelled : Outcome::cancelled_unsent;
+  connection->abandon();
   return outcome;
 }
 
@@ -271,12 +285,13 @@
   if (it == pools_.end()) return;
   const auto idle = std::move(it->second.idle);
   pools_.erase(it);
-  for (const auto& c : idle) c->close();
+  for (const auto& connection : idle) connection->close();
 }
 
-void Upstream::drop(const std::shared_ptr<Connection>& c) {
-  if (all_.erase(c) > 0) --open_;
-  if (const auto it = pools_.find(c->server); it != pools_.end()) std::erase(it->second.idle, c);
+void Upstream::drop(const std::shared_ptr<Connection>& connection) {
+  if (all_.erase(connection) > 0) --open_;
+  if (const auto it = pools_.find(connection->server); it != pools_.end())
+    std::erase(it->second.idle, connection);
 }
 
 }  // namespace docklift::proxy
--- a/tests/system/process_fleet.cpp
+++ b/tests/system/process_fleet.cpp
@@ -29,25 +29,27 @@
 
 constexpr int kCtlOffset = 10;
 constexpr int kHttpOffset = 12;
-constexpr int kMostMachines = 9;
-constexpr Duration kOrderLimit = 1s;
-constexpr Duration kLoopPiece = 20ms;
-constexpr std::size_t kHeadBytes = 65536;
+constexpr int kMaxMachines = 9;
+constexpr Duration kRequestTimeout = 1s;
+constexpr Duration kPollInterval = 20ms;
+constexpr std::size_t kMaxHeadBytes = 65536;
 constexpr std::size_t kLogBytes = 2000;
 
-// The third part of the addresses of this process's machines; tests run side by side.
-std::string own_part() { return std::to_string(::getpid() % 250 + 1); }
-std::string machines_prefix() { return "127.61." + own_part() + "."; }
-std::string relays_prefix(int from) { return "127." + std::to_string(70 + from) + "." + own_part() + "."; }
+// The third octet of the addresses of this process's machines, as test processes run in parallel.
+std::string process_octet() { return std::to_string(::getpid() % 250 + 1); }
+std::string machines_prefix() { return "127.61." + process_octet() + "."; }
+std::string relays_prefix(int from) {
+  return "127." + std::to_string(70 + from) + "." + process_octet() + ".";
+}
 
 Tcp::endpoint endpoint(const std::string& ip, int port) {
   return {asio::ip::make_address(ip), static_cast<std::uint16_t>(port)};
 }
 
-std::vector<char*> pointers(std::vector<std::string>& texts) {
+std::vector<char*> to_argv(std::vector<std::string>& strings) {
   std::vector<char*> out;
-  out.reserve(texts.size() + 1);
-  for (auto& text : texts) out.push_back(text.data());
+  out.reserve(strings.size() + 1);
+  for (auto& string : strings) out.push_back(string.data());
   out.push_back(nullptr);
   return out;
 }
@@ -56,8 +58,8 @@
 
 ProcessFleet::ProcessFleet(int core) : first_port_(static_cast<std::uint16_t>(20000 + ::getpid() % 10000)) {
   char name[] = "/tmp/docklift-processes-XXXXXX";
-  if (::mkdtemp(name) == nullptr) throw std::runtime_error("no folder under /tmp can be made");
-  folder_ = name;
+  if (::mkdtemp(name) == nullptr) throw std::runtime_error("can't create a directory under /tmp");
+  directory_ = name;
   for (int machine = 1; machine <= core; ++machine)
     machines_[machine] = {"z" + std::to_string(machine), true, true, {}};
 }
@@ -68,7 +70,7 @@
   io_.restart();
   io_.poll();
   std::error_code ignored;
-  std::filesystem::remove_all(folder_, ignored);
+  std::filesystem::remove_all(directory_, ignored);
 }
 
 std::string ProcessFleet::ip(int machine) const { return machines_prefix() + std::to_string(machine); }
@@ -81,7 +83,7 @@
 std::string ProcessFleet::http(int machine) const {
   return ip(machine) + ":" + std::to_string(first_port_ + kHttpOffset);
 }
-std::string ProcessFleet::folder(int machine) const { return folder_ / std::to_string(machine); }
+std::string ProcessFleet::directory(int machine) const { return directory_ / std::to_string(machine); }
 
 void ProcessFleet::start_core(int machine) { start(machine); }
 
@@ -101,18 +103,19 @@
 }
 
 void ProcessFleet::start(int machine) {
-  if (machine > kMostMachines) throw std::invalid_argument("a fleet has machines 1 to 9");
-  std::filesystem::create_directories(folder(machine));
-  join_by_relays(machine);
+  if (machine > kMaxMachines) throw std::invalid_argument("a fleet has machines 1 to 9");
+  std::filesystem::create_directories(directory(machine));
+  add_relays(machine);
   auto& state = machines_.at(machine);
   const std::vector<std::string> programs = state.core
                                                 ? std::vector<std::string>{DOCKLIFT_STORE, DOCKLIFT_REGISTRY}
                                                 : std::vector<std::string>{DOCKLIFT_PROXY};
-  for (const auto& program : programs) state.running.push_back(spawn(machine, program));
+  for (const auto& program : programs) state.processes.push_back(spawn(machine, program));
 }
 
-// Relays from this machine to each other one, and back, for each port between processes.
-void ProcessFleet::join_by_relays(int machine) {
+// Adds relays between this machine and each other one, in both directions, for each port used between
+// processes.
+void ProcessFleet::add_relays(int machine) {
   for (const auto& [other, state] : machines_) {
     if (other == machine || relays_.contains({machine, other})) continue;
     for (const auto& [from, to] : {std::pair(machine, other), std::pair(other, machine)})
@@ -125,7 +128,7 @@
 std::string ProcessFleet::write_settings(int machine) const {
   const auto& state = machines_.at(machine);
   const auto port = [&](int offset) { return std::to_string(first_port_ + offset); };
-  const auto path = folder(machine) + "/settings.conf";
+  const auto path = directory(machine) + "/settings.conf";
   std::ofstream out(path);
   out << "hostname=m" << machine << "\nbind_ip=" << ip(machine) << "\naz=" << state.zone << "\nrgn=r1\n"
       << "azs.z1=r1\nazs.z2=r1\nazs.z3=r1\nport_range=" << port(0) << "," << port(5) << "\nseeds=" << ctl(1)
@@ -134,7 +137,7 @@
       << "\nhb_ms=1500\ntolerance.nodes=1\ntolerance.azs=1\n"
       << "limits.nofile=1024\n";
   if (state.core) {
-    out << "datadir=" << folder(machine) << "\nlisten.ctl=" << ctl(machine) << "\n";
+    out << "datadir=" << directory(machine) << "\nlisten.ctl=" << ctl(machine) << "\n";
   } else {
     out << "listen.http=" << http(machine) << "\n";
   }
@@ -144,15 +147,15 @@
 pid_t ProcessFleet::spawn(int machine, const std::string& program) {
   std::vector<std::string> arguments{program};
   std::vector<std::string> variables;
-  for (char** one = environ; *one != nullptr; ++one) variables.emplace_back(*one);
+  for (char** entry = environ; *entry != nullptr; ++entry) variables.emplace_back(*entry);
   variables.push_back("DOCKLIFT_SETTINGS=" + write_settings(machine));
   variables.push_back(std::string("LD_PRELOAD=") + RELAYED_CONNECT);
   variables.push_back("RELAYED_MACHINES=" + machines_prefix());
   variables.push_back("RELAYED_TO=" + relays_prefix(machine));
   variables.push_back("RELAYED_SELF=" + ip(machine));
   variables.emplace_back(
-      "ASAN_OPTIONS=verify_asan_link_order=0");  // the library above needs no runtime of it
-  const auto log_path = folder(machine) + "/log";
+      "ASAN_OPTIONS=verify_asan_link_order=0");  // the preloaded library doesn't need its runtime
+  const auto log_path = directory(machine) + "/log";
   posix_spawn_file_actions_t actions;
   ::posix_spawn_file_actions_init(&actions);
   ::posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_path.c_str(), O_CREAT | O_WRONLY | O_APPEND,
@@ -160,24 +163,24 @@
   ::posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
   ::posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
   pid_t pid = 0;
-  const int failed = ::posix_spawn(&pid, program.c_str(), &actions, nullptr, pointers(arguments).data(),
-                                   pointers(variables).data());
+  const int error = ::posix_spawn(&pid, program.c_str(), &actions, nullptr, to_argv(arguments).data(),
+                                  to_argv(variables).data());
   ::posix_spawn_file_actions_destroy(&actions);
-  if (failed != 0) throw std::runtime_error(program + " can't be started");
+  if (error != 0) throw std::runtime_error(program + " can't be started");
   return pid;
 }
 
 void ProcessFleet::kill(int machine) {
-  auto& running = machines_.at(machine).running;
-  for (const auto pid : running) ::kill(pid, SIGKILL);
-  for (const auto pid : std::exchange(running, {})) ::waitpid(pid, nullptr, 0);
+  auto& processes = machines_.at(machine).processes;
+  for (const auto pid : processes) ::kill(pid, SIGKILL);
+  for (const auto pid : std::exchange(processes, {})) ::waitpid(pid, nullptr, 0);
 }
 
-std::optional<std::vector<int>> ProcessFleet::terminate(int machine, Duration limit, bool again) {
-  auto& running = machines_.at(machine).running;
-  for (const auto pid : running) ::kill(pid, SIGTERM);
-  if (again)
-    for (const auto pid : running) ::kill(pid, SIGTERM);
+std::optional<std::vector<int>> ProcessFleet::terminate(int machine, Duration limit, bool twice) {
+  auto& processes = machines_.at(machine).processes;
+  for (const auto pid : processes) ::kill(pid, SIGTERM);
+  if (twice)
+    for (const auto pid : processes) ::kill(pid, SIGTERM);
   std::vector<int> codes;
   const auto ended = [&](pid_t pid) {
     int status = 0;
@@ -186,24 +189,25 @@
     return true;
   };
   const auto all_ended = [&] {
-    std::erase_if(running, ended);
-    return running.empty();
+    std::erase_if(processes, ended);
+    return processes.empty();
   };
   if (!until(all_ended, limit)) return std::nullopt;
   return codes;
 }
 
-void ProcessFleet::cut(int from, int to, bool on) {
-  // What `from` sends goes along the connections that it made, and back along those that `to` made.
-  for (const auto& relay : relays_.at({from, to})) relay->cut(0, on);
-  for (const auto& relay : relays_.at({to, from})) relay->cut(1, on);
+void ProcessFleet::cut(int from, int to, bool blocked) {
+  // Data from `from` to `to` flows forward on connections opened by `from`, and backward on those opened by
+  // `to`.
+  for (const auto& relay : relays_.at({from, to})) relay->cut(0, blocked);
+  for (const auto& relay : relays_.at({to, from})) relay->cut(1, blocked);
 }
 
-void ProcessFleet::cut_off(int machine, bool on) {
+void ProcessFleet::isolate(int machine, bool blocked) {
   for (const auto& [other, state] : machines_) {
     if (other == machine) continue;
-    cut(machine, other, on);
-    cut(other, machine, on);
+    cut(machine, other, blocked);
+    cut(other, machine, blocked);
   }
 }
 
@@ -212,47 +216,50 @@
   while (!done()) {
     if (std::chrono::steady_clock::now() > end) return false;
     io_.restart();
-    io_.run_one_for(kLoopPiece);
+    io_.run_one_for(kPollInterval);
   }
   return true;
 }
 
-HttpAnswer ProcessFleet::call(const std::string& address, const std::string& method, const std::string& path,
-                              const std::string& body, Duration limit, const std::string& fields) {
+HttpResponse ProcessFleet::exchange(const std::string& address, const std::string& method,
+                                    const std::string& path, const std::string& body, Duration limit,
+                                    const std::string& fields) {
   struct Exchange {
     explicit Exchange(asio::io_context& io) : socket(io.get_executor()) {}
     Socket socket;
-    std::string request, in;
-    std::array<char, 16384> piece{};
-    HttpAnswer answer;
+    std::string request, input;
+    std::array<char, 16384> read_buffer{};
+    HttpResponse response;
     bool ended = false;
   };
   const auto exchange = std::make_shared<Exchange>(io_);
   exchange->request = method + " " + path + " HTTP/1.1\r\nHost: h.example\r\n" + fields +
                       "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-  const auto read = [exchange](const auto& again) -> void {
-    exchange->socket.async_read_some(
-        asio::buffer(exchange->piece), [exchange, again](const error_code& failed, std::size_t bytes) {
-          exchange->in.append(exchange->piece.data(), bytes);
-          http::Head head;
-          const auto got = http::parse_response_head(exchange->in, kHeadBytes, head);
-          const auto length = got.status == http::ParseStatus::complete
-                                  ? http::number(head.only("Content-Length").value_or("0")).value_or(0)
-                                  : 0;
-          if (got.status == http::ParseStatus::complete && exchange->in.size() >= got.used + length) {
-            exchange->answer = {head.status, exchange->in.substr(got.used, length)};
-            exchange->ended = true;
-            return;
-          }
-          if (failed) {
-            exchange->ended = true;
-            return;
-          }
-          again(again);
-        });
+  const auto read = [exchange](const auto& read_more) -> void {
+    exchange->socket.async_read_some(asio::buffer(exchange->read_buffer), [exchange, read_more](
+                                                                              const error_code& error,
+                                                                              std::size_t bytes) {
+      exchange->input.append(exchange->read_buffer.data(), bytes);
+      http::Head head;
+      const auto parsed = http::parse_response_head(exchange->input, kMaxHeadBytes, head);
+      const auto length = parsed.status == http::ParseStatus::complete
+                              ? http::parse_decimal(head.unique("Content-Length").value_or("0")).value_or(0)
+                              : 0;
+      if (parsed.status == http::ParseStatus::complete &&
+          exchange->input.size() >= parsed.consumed + length) {
+        exchange->response = {head.status, exchange->input.substr(parsed.consumed, length)};
+        exchange->ended = true;
+        return;
+      }
+      if (error) {
+        exchange->ended = true;
+        return;
+      }
+      read_more(read_more);
+    });
   };
-  exchange->socket.async_connect(*snowknot::endpoint_of(address), [exchange, read](const error_code& failed) {
-    if (failed) {
+  exchange->socket.async_connect(*snowknot::endpoint_of(address), [exchange, read](const error_code& error) {
+    if (error) {
       exchange->ended = true;
       return;
     }
@@ -261,44 +268,45 @@
   });
   until([&] { return exchange->ended; }, limit);
   snowknot::close_now(exchange->socket);
-  return exchange->answer;
+  return exchange->response;
 }
 
-HttpAnswer ProcessFleet::order(int machine, const std::string& path, const std::string& body) {
-  return call(ctl(machine), "POST", path, body, kOrderLimit);
+HttpResponse ProcessFleet::send_command(int machine, const std::string& path, const std::string& body) {
+  return exchange(ctl(machine), "POST", path, body, kRequestTimeout);
 }
 
-HttpAnswer ProcessFleet::order_until_clear(const std::vector<int>& machines, const std::string& path,
-                                           const std::string& body, Duration limit) {
+HttpResponse ProcessFleet::send_command_until_definite(const std::vector<int>& machines,
+                                                       const std::string& path, const std::string& body,
+                                                       Duration limit) {
   const auto end = std::chrono::steady_clock::now() + limit;
-  for (std::size_t tries = 0; std::chrono::steady_clock::now() < end; ++tries) {
-    const auto answer = order(machines[tries % machines.size()], path, body);
-    if (answer.status != 0 && answer.status < 500) return answer;
+  for (std::size_t attempts = 0; std::chrono::steady_clock::now() < end; ++attempts) {
+    const auto response = send_command(machines[attempts % machines.size()], path, body);
+    if (response.status != 0 && response.status < 500) return response;
     io_.restart();
-    io_.run_one_for(kLoopPiece);
+    io_.run_one_for(kPollInterval);
   }
   return {};
 }
 
-HttpAnswer ProcessFleet::ask(int proxy, const std::string& path) {
-  const std::string fields = "Attempt-Id: id" + std::to_string(++requests_) +
+HttpResponse ProcessFleet::send_request(int proxy, const std::string& path) {
+  const std::string fields = "Attempt-Id: id" + std::to_string(++last_attempt_id_) +
                              "\r\nDeadline: 900\r\nKey: k1\r\n";
-  return call(http(proxy), "GET", path, "", kOrderLimit, fields);
+  return exchange(http(proxy), "GET", path, "", kRequestTimeout, fields);
 }
 
 std::uint64_t ProcessFleet::version_at(int machine) {
-  const auto answer = call(ctl(machine), "GET", "/Config.Read", "", kOrderLimit);
-  if (answer.status != 200) return 0;
-  const auto document = nlohmann::json::parse(answer.body, nullptr, false);
+  const auto response = exchange(ctl(machine), "GET", "/Config.Read", "", kRequestTimeout);
+  if (response.status != 200) return 0;
+  const auto document = nlohmann::json::parse(response.body, nullptr, false);
   if (!document.is_object()) return 0;
-  const auto shown = document.value("gen", std::string());
+  const auto hex_version = document.value("gen", std::string());
   std::uint64_t version = 0;
-  std::from_chars(shown.data(), shown.data() + shown.size(), version, 16);
+  std::from_chars(hex_version.data(), hex_version.data() + hex_version.size(), version, 16);
   return version;
 }
 
 std::string ProcessFleet::log(int machine) const {
-  std::ifstream in(folder(machine) + "/log");
+  std::ifstream in(directory(machine) + "/log");
   const std::string text{std::istreambuf_iterator<char>(in), {}};
   return text.substr(text.size() - std::min(text.size(), kLogBytes));
 }
--- a/tests/system/process_fleet.hpp
+++ b/tests/system/process_fleet.hpp
@@ -1,6 +1,6 @@
-// A fleet of the system's programs as processes on 127.0.0.0/8: machines with a store and a registry each, and proxies.
-// All links between machines run through relays that can be cut. The caller is the operator. One io_context, one thread;
-// what is waited for is an event with a limit.
+// A fleet of the system's programs as processes on 127.0.0.0/8: machines with a store and a registry each,
+// and proxies. All links between machines run through relays that can be cut. The caller acts as the
+// operator. Runs on one io_context and one thread; waits for events with a time limit.
 #pragma once
 
 #include <sys/types.h>
@@ -20,56 +20,59 @@
 
 namespace docklift::test {
 
-struct HttpAnswer {
-  int status = 0;  // 0: none came in time
+// A response that a client or operator received.
+struct HttpResponse {
+  int status = 0;  // 0: no response in time
   std::string body;
 };
 
 class ProcessFleet {
  public:
-  // Core machines 1 to `core`, each in a zone of its own ("z1", ...), at their first start; none of them has begun.
+  // Prepares core machines 1 to `core`, each in its own zone ("z1", ...), for their first start. Starts none
+  // of them.
   explicit ProcessFleet(int core);
-  ~ProcessFleet();  // ends all its processes, and removes their files
+  ~ProcessFleet();  // kills all processes and removes their files
   ProcessFleet(const ProcessFleet&) = delete;
   ProcessFleet& operator=(const ProcessFleet&) = delete;
 
   void start_core(int machine);
-  // A machine with an empty disk that joins, in the zone of another.
+  // Starts a machine with an empty disk that joins in the zone of another.
   void start_replacement(int machine, int in_zone_of);
   void start_proxy(int machine);
-  // SIGKILL to its processes, and waits for their ends. Its files stay.
+  // Sends SIGKILL to its processes and waits until they have ended. Its files stay.
   void kill(int machine);
-  // SIGTERM to its processes, twice where `again`. Their exit codes when all have ended; none where that takes longer
-  // than `limit`.
-  std::optional<std::vector<int>> terminate(int machine, Duration limit, bool again = false);
+  // Sends SIGTERM to its processes, twice if `twice`. Returns their exit codes when all have ended, or
+  // nullopt if that takes longer than `limit`.
+  std::optional<std::vector<int>> terminate(int machine, Duration limit, bool twice = false);
   void restart(int machine);
 
-  // Cuts what `from` sends to `to`, or joins it again.
-  void cut(int from, int to, bool on);
-  // Both directions between a machine and all others.
-  void cut_off(int machine, bool on);
+  // Blocks what `from` sends to `to`, or lets it pass again.
+  void cut(int from, int to, bool blocked);
+  // Does so in both directions between a machine and all others.
+  void isolate(int machine, bool blocked);
 
-  // Runs the loop until `done`; false if it is not within `limit`.
+  // Runs the event loop until `done`; false if that takes longer than `limit`.
   bool until(const std::function<bool()>& done, Duration limit);
-  // `fields`: further lines of the head, each with its line end.
-  HttpAnswer call(const std::string& address, const std::string& method, const std::string& path,
-                  const std::string& body, Duration limit, const std::string& fields = "");
+  // Sends one request. `fields`: additional lines of the head, each ending with CRLF.
+  HttpResponse exchange(const std::string& address, const std::string& method, const std::string& path,
+                        const std::string& body, Duration limit, const std::string& fields = "");
 
   // ---- The operator
-  // One try at a machine, within a second.
-  HttpAnswer order(int machine, const std::string& path, const std::string& body);
-  // The same order to these machines in turn until one gives a clear answer: 2xx or 4xx. Status 0: none did.
-  HttpAnswer order_until_clear(const std::vector<int>& machines, const std::string& path,
-                               const std::string& body, Duration limit);
-  // A client's request at a proxy, with a key of config_body's tenant.
-  HttpAnswer ask(int proxy, const std::string& path);
-  // What Config.Read of a machine gives, as version; 0 without an answer.
+  // Sends a command to a machine once, with a timeout of a second.
+  HttpResponse send_command(int machine, const std::string& path, const std::string& body);
+  // Sends the same command to these machines in turn until one responds definitely, with 2xx or 4xx. Status
+  // 0: none did.
+  HttpResponse send_command_until_definite(const std::vector<int>& machines, const std::string& path,
+                                           const std::string& body, Duration limit);
+  // Sends a client's request to a proxy, with a key of config_body's tenant.
+  HttpResponse send_request(int proxy, const std::string& path);
+  // The version that Config.Read returns at a machine; 0 without a response.
   std::uint64_t version_at(int machine);
 
   std::string ctl(int machine) const;
   std::string http(int machine) const;
   std::string ip(int machine) const;
-  // The last lines that a machine's processes logged, for a failure's report.
+  // The last lines logged by a machine's processes, for failure messages.
   std::string log(int machine) const;
 
  private:
@@ -77,20 +80,20 @@
     std::string zone;
     bool bootstrap = false;
     bool core = true;
-    std::vector<pid_t> running;
+    std::vector<pid_t> processes;
   };
   void start(int machine);
   pid_t spawn(int machine, const std::string& program);
   std::string write_settings(int machine) const;
   std::string relay_ip(int from, int to) const;
-  std::string folder(int machine) const;
-  void join_by_relays(int machine);
+  std::string directory(int machine) const;
+  void add_relays(int machine);
 
   std::uint16_t first_port_;
-  std::filesystem::path folder_;
+  std::filesystem::path directory_;
   boost::asio::io_context io_{1};
   std::map<int, Machine> machines_;
-  std::uint64_t requests_ = 0;
+  std::uint64_t last_attempt_id_ = 0;
   std::map<std::pair<int, int>, std::vector<std::unique_ptr<LinkRelay>>> relays_;  // from, to
 };
 
--- a/tests/system/serving_fleet.hpp
+++ b/tests/system/serving_fleet.hpp
@@ -1,4 +1,5 @@
-// A fleet on loopback sockets that serves, with a server whose answers a test may hold, and clients' connections to it.
+// A serving fleet on loopback sockets, with a server whose responses a test can hold, and client connections
+// to it.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 
 namespace docklift::test {
 
-// A client's connection with requests on it. What comes back is collected until the connection ends.
+// A client connection that sends requests and collects the received data until the connection ends.
 class Client {
  public:
   Client(Fleet& fleet, int proxy, const std::string& requests) : socket_(fleet.io.get_executor()) {
@@ -17,17 +18,18 @@
     send(requests);
   }
   void send(const std::string& requests) {
-    boost::system::error_code broken;  // the proxy may have closed
-    asio::write(socket_, asio::buffer(requests), broken);
+    boost::system::error_code ignored;  // the proxy may have closed
+    asio::write(socket_, asio::buffer(requests), ignored);
   }
   void disconnect() { snowknot::close_now(socket_); }
-  // From here on, answers are read; the client must outlive the loop's turns.
+  // Reads everything received from now on; the client must outlive the event loop's callbacks.
   void start_reading() {
-    socket_.async_read_some(asio::buffer(chunk_), [this](boost::system::error_code failed, std::size_t n) {
-      received_.append(chunk_.data(), n);
-      if (failed) return void(closed_ = true);
-      start_reading();
-    });
+    socket_.async_read_some(asio::buffer(read_buffer_),
+                            [this](boost::system::error_code error, std::size_t bytes) {
+                              received_.append(read_buffer_.data(), bytes);
+                              if (error) return void(closed_ = true);
+                              start_reading();
+                            });
   }
   const std::string& received() const { return received_; }
   bool closed() const { return closed_; }  // by the proxy
@@ -37,7 +39,7 @@
 
  private:
   Socket socket_;
-  std::array<char, 4096> chunk_{};
+  std::array<char, 4096> read_buffer_{};
   std::string received_;
   bool closed_ = false;
 };
@@ -47,24 +49,26 @@
          "\r\nDeadline: 9000\r\nKey: k1\r\n\r\n";
 }
 
-// A fleet that serves, with a stand-in for a server that holds its answers to what ends in "hold".
+// A fleet that serves, with a stand-in server that holds its responses to paths ending in "hold".
 struct ServingFleet : Fleet {
   explicit ServingFleet(const std::string& proxy_settings = "")
-      : Fleet(proxy_settings), server(io, Fleet::server(0), [](const standin::Seen& seen) {
-          auto reply = standin::good(seen, "hello");
-          reply.hold = seen.target().ends_with("hold");
-          return reply;
+      : Fleet(proxy_settings), server(io, Fleet::server(0), [](const standin::ReceivedRequest& request) {
+          auto response = standin::ok_response(request, "hello");
+          response.hold = request.target().ends_with("hold");
+          return response;
         }) {
     BOOST_REQUIRE(
         until([&] { return post(ctl(1), "/Config.Replace", high_quota_config(3, 0)).status == 200; }));
     BOOST_REQUIRE(heartbeat("i-1", 0).status == 200);
     BOOST_REQUIRE(until([&] { return send_request(4, "/a/x").status == 200; }));
   }
+  // Waits until a request with this path has reached the server.
   bool reaches_server(const std::string& path) {
     return until([&] { return has_reached_server(path); });
   }
   bool has_reached_server(const std::string& path) {
-    return std::ranges::any_of(server.requests(), [&](const auto& seen) { return seen.target() == path; });
+    return std::ranges::any_of(server.requests(),
+                               [&](const auto& request) { return request.target() == path; });
   }
   standin::Server server;
 };
