--- a/src/system/program/program.cpp
+++ b/src/system/program/program.cpp
@@ -18,57 +18,60 @@
 
 int run_program(const Program& program, int argc, char** argv,
                 const std::function<int(boost::asio::io_context&, const SystemSettings&)>& run) {
-  cxxopts::Options options(program.name, program.what);
-  options.add_options()("s,settings", "the settings file ($DOCKLIFT_SETTINGS)",
+  cxxopts::Options options(program.name, program.description);
+  options.add_options()("s,settings", "path of the settings file ($DOCKLIFT_SETTINGS)",
                         cxxopts::value<std::string>())("l,log-level", "debug, info, warn or error",
                                                        cxxopts::value<std::string>()->default_value("info"))(
-      "c,check", "read the settings, tell mistakes, end")("h,help", "this text")("v,version", "the version");
+      "c,check", "validate the settings and exit")("h,help", "show this help")("v,version",
+                                                                               "show the version");
   for (const auto& option : program.options)
-    options.add_options()(option.name, option.what, cxxopts::value<std::vector<std::string>>());
+    options.add_options()(option.name, option.description, cxxopts::value<std::vector<std::string>>());
   std::string path;
-  std::string level;
-  bool check = false;
+  std::string log_level;
+  bool check_only = false;
   try {
-    const auto given = options.parse(argc, argv);
-    if (given.count("help") > 0) return std::cout << options.help(), 0;
-    if (given.count("version") > 0) return std::cout << program.name << ' ' << DOCKLIFT_VERSION << '\n', 0;
-    if (!given.unmatched().empty()) {
-      std::cerr << program.name << ": not known: " << given.unmatched().front() << '\n';
+    const auto arguments = options.parse(argc, argv);
+    if (arguments.count("help") > 0) return std::cout << options.help(), 0;
+    if (arguments.count("version") > 0)
+      return std::cout << program.name << ' ' << DOCKLIFT_VERSION << '\n', 0;
+    if (!arguments.unmatched().empty()) {
+      std::cerr << program.name << ": unknown argument: " << arguments.unmatched().front() << '\n';
       return 2;
     }
-    path = given.count("settings") > 0 ? given["settings"].as<std::string>() : settings_path();
-    level = given["log-level"].as<std::string>();
-    check = given.count("check") > 0;
+    path = arguments.count("settings") > 0 ? arguments["settings"].as<std::string>() : settings_path();
+    log_level = arguments["log-level"].as<std::string>();
+    check_only = arguments.count("check") > 0;
     for (const auto& option : program.options)
-      if (given.count(option.name) > 0) *option.values = given[option.name].as<std::vector<std::string>>();
-  } catch (const std::exception& x) {  // cxxopts has changed the name of its own
-    std::cerr << program.name << ": " << x.what() << '\n';
+      if (arguments.count(option.name) > 0)
+        *option.values = arguments[option.name].as<std::vector<std::string>>();
+  } catch (const std::exception& error) {  // the type name differs between versions of cxxopts
+    std::cerr << program.name << ": " << error.what() << '\n';
     return 2;
   }
-  if (level != "debug" && level != "info" && level != "warn" && level != "error") {
-    std::cerr << program.name << ": no level of logs: " << level << '\n';
+  if (log_level != "debug" && log_level != "info" && log_level != "warn" && log_level != "error") {
+    std::cerr << program.name << ": invalid log level: " << log_level << '\n';
     return 2;
   }
   auto settings = read_settings(path);
   if (failed(settings)) {
-    const auto& f = failure(settings);
-    std::istringstream lines(f.what);
+    const auto& invalid = failure(settings);
+    std::istringstream lines(invalid.what);
     for (std::string line; std::getline(lines, line);)
-      std::cerr << program.name << ": " << Failure{f.step, f.peer, line}.shown() << '\n';
+      std::cerr << program.name << ": " << Failure{invalid.step, invalid.peer, line}.shown() << '\n';
     return 2;
   }
-  if (check) return 0;
+  if (check_only) return 0;
   std::signal(SIGPIPE, SIG_IGN);
-  start_logs(level);
+  start_logs(log_level);
   const Log log(program.name);
   try {
     boost::asio::io_context io(1);
-    log.info("starts on " + value(settings).hostname);
+    log.info("starting on " + value(settings).hostname);
     const int code = run(io, value(settings));
-    log.info("ends with " + std::to_string(code));
+    log.info("exiting with code " + std::to_string(code));
     return code;
-  } catch (const std::exception& x) {
-    log.error(std::string("ends: ") + x.what());
+  } catch (const std::exception& error) {
+    log.error(std::string("ends: ") + error.what());
     return 1;
   }
 }
@@ -80,18 +83,18 @@
 }
 
 void Signals::wait() {
-  set_.async_wait([this](boost::system::error_code failed_wait, int signal) {
-    if (failed_wait) return;
+  set_.async_wait([this](boost::system::error_code error, int signal) {
+    if (error) return;
     if (signal == SIGHUP) {
       auto settings = read_settings(settings_path());
       if (failed(settings)) {
-        log_.warn("settings stay as they were: " + failure(settings).shown());
+        log_.warn("reload failed, keeping the current settings: " + failure(settings).shown());
       } else {
-        log_.info("settings are read anew");
+        log_.info("settings reloaded");
         reload_(value(settings));
       }
     } else {
-      log_.info("asked to stop");
+      log_.info("stop requested");
       stop_();
     }
     wait();
--- a/src/system/program/program.hpp
+++ b/src/system/program/program.hpp
@@ -1,5 +1,5 @@
-// What the three programs have in common: command line, settings, logs, signals, ends.
-// Exit codes: 0 ended as asked, 1 could not go on, 2 a mistake in the command line or the settings.
+// Shared by the three programs: command line, settings, logs, signals and exit codes.
+// Exit codes: 0 ended on request, 1 fatal error, 2 invalid command line or settings.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,23 +13,24 @@
 
 namespace docklift {
 
-// An option of one program's own; it may be given more than once.
+// An option that only one program has; it may be repeated.
 struct ListOption {
-  std::string name, what;                      // for --help
-  std::vector<std::string>* values = nullptr;  // what was given; not owned
+  std::string name, description;               // for --help
+  std::vector<std::string>* values = nullptr;  // output: the values given; not owned
 };
 
+// Name and options of a program.
 struct Program {
-  std::string name, what;  // for --help
+  std::string name, description;  // for --help
   std::vector<ListOption> options{};
 };
 
-// Reads command line and settings, and calls `run`; returns the exit code. `check` (--check) ends after the
-// settings are read.
+// Reads the command line and the settings, calls `run`, and returns the exit code. With --check it returns
+// after reading the settings.
 int run_program(const Program& program, int argc, char** argv,
                 const std::function<int(boost::asio::io_context&, const SystemSettings&)>& run);
 
-// SIGTERM and SIGINT: `stop`; SIGHUP: `reload` with the settings as they are now (only if they can be read).
+// Calls `stop` on SIGTERM and SIGINT, and `reload` with the reread settings on SIGHUP if they are valid.
 class Signals {
  public:
   Signals(boost::asio::io_context& io, std::function<void()> stop,
@@ -43,7 +44,8 @@
   Log log_;
 };
 
-// A number that no other process has drawn; wall-clock nanoseconds, so that a later start draws a higher one.
+// A unique number for this start of the process: wall-clock nanoseconds, so that a later start has a higher
+// one.
 std::uint64_t new_incarnation();
 
 }  // namespace docklift
