--- a/src/system/counts/counts.cpp
+++ b/src/system/counts/counts.cpp
@@ -92,15 +92,15 @@
   }
   g.units = static_cast<std::uint32_t>(std::min<double>(units, std::floor(most + 1e-9)));
   used += g.units;
-  g.left = static_cast<std::uint32_t>(std::max(0.0, std::floor(room - g.units + 1e-9)));
+  g.remaining = static_cast<std::uint32_t>(std::max(0.0, std::floor(room - g.units + 1e-9)));
   g.window = now_in + ahead;
   g.starts = Time(w.length * g.window) - now;
   g.ends = g.starts + w.length;
-  if (g.left == 0) {
-    g.more = g.ends;
+  if (g.remaining == 0) {
+    g.exhausted_for = g.ends;
   } else if (g.units < units) {  // its part is granted: what others leave can be had later
-    g.more = std::max<Duration>(g.starts + snowknot::scaled(w.length, kSharedFor),
-                                std::chrono::milliseconds(1));
+    g.exhausted_for = std::max<Duration>(g.starts + snowknot::scaled(w.length, kSharedFor),
+                                         std::chrono::milliseconds(1));
   }
   return g;
 }
--- a/src/system/counts/counts.hpp
+++ b/src/system/counts/counts.hpp
@@ -41,9 +41,9 @@
 
 struct Grant {
   std::int64_t window = 0;
-  std::uint32_t units = 0, left = 0;
+  std::uint32_t units = 0, remaining = 0;
   Duration starts{}, ends{};  // from now
-  Duration more{};            // no more of it can be had for so long
+  Duration exhausted_for{};   // no more of it can be had for so long
 };
 
 namespace count {  // complete before the table of them
--- a/src/system/decisions/decisions.cpp
+++ b/src/system/decisions/decisions.cpp
@@ -45,24 +45,24 @@
   if (!readmitted.empty()) servers_.readmitted(now, readmitted);
 }
 
-void Decisions::proxies(const std::vector<std::string>& zone_and_id) {
+void Decisions::set_proxies(const std::vector<std::string>& zone_and_id) {
   servers_.set_proxies(zone_and_id);
   units_.set_proxies(zone_and_id.size());
   repeats_.set_proxies(zone_and_id.size());
 }
 
-Actions Decisions::holder(Time now, bool reachable) {
+Actions Decisions::set_holder_reachable(Time now, bool reachable) {
   units_.set_holder(reachable);
   after_units(now);
   return done();
 }
 
-Actions Decisions::new_holder(Time now, std::uint64_t term) {
+Actions Decisions::on_new_holder(Time now, std::uint64_t term) {
   units_.new_holder(now, term);
   return done();
 }
 
-void Decisions::confirmed(Time at) {
+void Decisions::set_confirmed(Time at) {
   if (!confirmed_at_ || at > *confirmed_at_) confirmed_at_ = at;
 }
 
@@ -71,7 +71,7 @@
 }
 
 bool Decisions::is_outdated(Time now) const {
-  return behind_ && (!confirmed_at_ || now >= *confirmed_at_ + from_millis(bounds_.apply_ms));
+  return lagging_ && (!confirmed_at_ || now >= *confirmed_at_ + from_millis(bounds_.apply_ms));
 }
 
 // Until then no acknowledged change can have taken a key away for so long that its requests must not run.
@@ -133,7 +133,7 @@
   return !r.regions.empty();
 }
 
-Actions Decisions::arrive(Time now, const Arrival& arrival) {
+Actions Decisions::on_request(Time now, const Arrival& arrival) {
   const auto id = arrival.request;
   Request arrived = request_of(now, arrival);
   const bool has_home = bind_to_homes(arrived, arrival.tenant);
@@ -212,7 +212,7 @@
   out_.push_back(Send{id, server, std::max<Duration>(r.deadline - now, 1ms), keys_valid_until()});
 }
 
-Actions Decisions::ended(Time now, RequestId id, Outcome outcome, Duration took, bool whole) {
+Actions Decisions::on_attempt_ended(Time now, RequestId id, Outcome outcome, Duration took, bool whole) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return done();
   auto& r = found.value();
@@ -271,11 +271,11 @@
 // Whether there is time for a further try.
 bool Decisions::may_try_again(Time now, const Request& r) const {
   if (now >= keys_valid_until()) return false;
-  if (drain_ && now + snowknot::scaled(r.target, kLeastLeftInDrain) >= drain_->gives_up) return false;
+  if (drain_ && now + snowknot::scaled(r.target, kLeastLeftInDrain) >= drain_->abort_at) return false;
   return now + snowknot::scaled(r.target, kLeastLeft) < r.deadline;
 }
 
-Actions Decisions::give_up(Time now) {
+Actions Decisions::abort_open_requests(Time now) {
   std::vector<RequestId> all;
   all.reserve(requests_.size());
   for (const auto& [id, r] : requests_) all.push_back(id);
@@ -321,7 +321,7 @@
   ++(r.repeatable ? departures_.went_on_repeatable : departures_.went_on_not_repeatable);
 }
 
-Actions Decisions::client_left(Time now, RequestId id) {
+Actions Decisions::on_client_left(Time now, RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.client_left) return done();
   auto& r = found.value();
@@ -385,13 +385,13 @@
   if (!orders.empty()) out_.push_back(RequestUnits{std::move(orders)});
 }
 
-Actions Decisions::granted(Time now, const UnitAnswer& answer) {
+Actions Decisions::on_grants(Time now, const UnitResponse& answer) {
   units_.granted(now, answer);
   after_units(now);
   return done();
 }
 
-Actions Decisions::grants_failed(Time now) {
+Actions Decisions::on_grants_failed(Time now) {
   units_.call_failed();
   after_units(now);
   return done();
--- a/src/system/decisions/decisions.hpp
+++ b/src/system/decisions/decisions.hpp
@@ -58,7 +58,7 @@
   bool unsent_only = false;
 };
 struct RequestUnits {  // units, of the holder of the counts
-  std::vector<UnitOrder> orders;
+  std::vector<UnitRequest> requests;
 };
 using Action = std::variant<Send, Refuse, Fail, Relay, Drop, Cancel, RequestUnits>;
 using Actions = std::vector<Action>;
@@ -87,32 +87,32 @@
   void configure(Time now, std::shared_ptr<const configuration::Configuration> c);
   void set_evacuated(Time now, const std::vector<std::string>& zones,
                      const std::vector<std::string>& readmitted);
-  void servers(Time now, const std::vector<fleet::Server>& changed) { servers_.news(now, changed); }
-  void proxies(const std::vector<std::string>& zone_and_id);
-  Actions holder(Time now, bool reachable);
-  Actions new_holder(Time now, std::uint64_t term);
+  void update_servers(Time now, const std::vector<fleet::Server>& changed) { servers_.news(now, changed); }
+  void set_proxies(const std::vector<std::string>& zone_and_id);
+  Actions set_holder_reachable(Time now, bool reachable);
+  Actions on_new_holder(Time now, std::uint64_t term);
   // As of `at`, a majority of the core knew of no configuration that is not here.
-  void confirmed(Time at);
+  void set_confirmed(Time at);
   // Whether the configuration here is known to lack a change that was agreed.
-  void set_behind(bool behind) { behind_ = behind; }
+  void set_lagging(bool lagging) { lagging_ = lagging; }
 
   // ---- the end of this process
   // From here on, requests are begun only as the schedule allows, and sent again only where they can still end.
   void begin_drain(const DrainSchedule& schedule) { drain_ = schedule; }
   // All that is open gets its end: refused where no server has it, else its attempt is cancelled and it fails.
-  Actions give_up(Time now);
+  Actions abort_open_requests(Time now);
 
   // ---- requests
   // One was turned away because there is no configuration here yet: counted only.
-  void refused_without_configuration() { refusals_.count(RefusalReason::no_configuration); }
-  Actions arrive(Time now, const Arrival& arrival);
+  void count_refusal_without_configuration() { refusals_.count(RefusalReason::no_configuration); }
+  Actions on_request(Time now, const Arrival& arrival);
   // `whole`: an answer of the server is at hand that can be relayed.
-  Actions ended(Time now, RequestId id, Outcome outcome, Duration took, bool whole);
+  Actions on_attempt_ended(Time now, RequestId id, Outcome outcome, Duration took, bool whole);
   // The client has closed its connection, or it was closed on it: nobody waits for the answer any more. What may run
   // again ends wherever it is; what may not is still sent to nobody, and ends where a server is at work on it.
-  Actions client_left(Time now, RequestId id);
-  Actions granted(Time now, const UnitAnswer& answer);
-  Actions grants_failed(Time now);
+  Actions on_client_left(Time now, RequestId id);
+  Actions on_grants(Time now, const UnitResponse& answer);
+  Actions on_grants_failed(Time now);
   Actions tick(Time now);  // at least each 20 ms while something is open
 
   // Whether "not allowed" may be told by the configuration here: only where it was the newest `apply_ms` ago at most.
@@ -122,9 +122,9 @@
   // it. One that only could not be confirmed, as the core is out of reach, is used on.
   bool is_outdated(Time now) const;
 
-  const Servers::Known* known(ServerHandle server) const { return servers_.known(server); }
-  std::vector<ServerHandle> dropped() { return servers_.dropped(); }
-  std::size_t open() const { return requests_.size(); }
+  const Servers::Known* find_server(ServerHandle server) const { return servers_.find(server); }
+  std::vector<ServerHandle> take_released_servers() { return servers_.take_released(); }
+  std::size_t open_count() const { return requests_.size(); }
   OpenRequests open_requests(Time now) const;
   const DepartureCounts& departures() const { return departures_; }
   const RefusalCounts& refusals() const { return refusals_; }
@@ -165,7 +165,7 @@
   std::vector<RequestId> parked_;
   std::optional<Time> confirmed_at_;
   std::optional<DrainSchedule> drain_;
-  bool behind_ = false;
+  bool lagging_ = false;
   DepartureCounts departures_;
   RefusalCounts refusals_;
   Actions out_;
--- a/src/system/decisions/departures.cpp
+++ b/src/system/decisions/departures.cpp
@@ -2,7 +2,7 @@
 
 namespace docklift::decisions {
 
-std::string shown(const DepartureCounts& counts) {
+std::string to_string(const DepartureCounts& counts) {
   const auto left = counts.waited_for_units + counts.waited_for_place + counts.at_server;
   const auto number = [](std::uint64_t n) { return std::to_string(n); };
   return "clients of " + number(left) + " requests left (" + number(counts.waited_for_units) +
--- a/src/system/decisions/departures.hpp
+++ b/src/system/decisions/departures.hpp
@@ -26,6 +26,6 @@
 };
 
 // A sentence for the log.
-std::string shown(const DepartureCounts& counts);
+std::string to_string(const DepartureCounts& counts);
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/drain_schedule.hpp
+++ b/src/system/decisions/drain_schedule.hpp
@@ -17,18 +17,18 @@
   static constexpr double kAcceptPart = 0.9, kGiveUpPart = 0.9, kEndPart = 0.97;
 
   DrainSchedule(Time now, Duration grace)
-      : began(now),
+      : started_at(now),
         accepts_until(now + snowknot::scaled(std::min(kLatestSend, grace / 2), kAcceptPart)),
-        gives_up(now + snowknot::scaled(grace, kGiveUpPart)),
-        ends(now + snowknot::scaled(grace, kEndPart)) {}
+        abort_at(now + snowknot::scaled(grace, kGiveUpPart)),
+        exit_at(now + snowknot::scaled(grace, kEndPart)) {}
 
   // Whether a request that arrives now and ends by `deadline` at the latest may be begun.
-  bool may_begin(Time now, Time deadline) const { return now < accepts_until || deadline <= gives_up; }
+  bool may_begin(Time now, Time deadline) const { return now < accepts_until || deadline <= abort_at; }
 
-  Time began;
+  Time started_at;
   Time accepts_until;  // later requests are begun only if they end in time
-  Time gives_up;       // what is still open gets its end
-  Time ends;           // the process ends, also where a client has not read its answer
+  Time abort_at;       // what is still open gets its end
+  Time exit_at;        // the process ends, also where a client has not read its answer
 };
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/open_requests.cpp
+++ b/src/system/decisions/open_requests.cpp
@@ -2,7 +2,7 @@
 
 namespace docklift::decisions {
 
-std::string shown(const OpenRequests& open) {
+std::string to_string(const OpenRequests& open) {
   const auto number = [](std::uint64_t n) { return std::to_string(n); };
   return "requests: " + number(open.wait_for_units) + " wait for units, " + number(open.wait_for_place) +
          " for a place, " + number(open.at_server) + " are at a server, the last ends in " +
--- a/src/system/decisions/open_requests.hpp
+++ b/src/system/decisions/open_requests.hpp
@@ -15,6 +15,6 @@
 };
 
 // A part of a sentence for the log.
-std::string shown(const OpenRequests& open);
+std::string to_string(const OpenRequests& open);
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/refusals.cpp
+++ b/src/system/decisions/refusals.cpp
@@ -2,7 +2,7 @@
 
 namespace docklift::decisions {
 
-std::string shown(const RefusalCounts& counts) {
+std::string to_string(const RefusalCounts& counts) {
   const auto part = [&](const char* name, RefusalReason reason) {
     return std::string(name) + " " + std::to_string(counts.of(reason));
   };
--- a/src/system/decisions/refusals.hpp
+++ b/src/system/decisions/refusals.hpp
@@ -30,6 +30,6 @@
 };
 
 // A sentence for the log.
-std::string shown(const RefusalCounts& counts);
+std::string to_string(const RefusalCounts& counts);
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/servers.cpp
+++ b/src/system/decisions/servers.cpp
@@ -146,7 +146,7 @@
   release_if_unlisted(h);
 }
 
-const Servers::Known* Servers::known(ServerHandle server) const {
+const Servers::Known* Servers::find(ServerHandle server) const {
   return server < servers_.size() && servers_[server].used ? &servers_[server].known : nullptr;
 }
 
--- a/src/system/decisions/servers.hpp
+++ b/src/system/decisions/servers.hpp
@@ -24,14 +24,14 @@
 inline constexpr ServerHandle kNoServer = 0xffffffffU;
 
 enum class Outcome {
-  ok,              // a whole answer of the server
-  error,           // a whole answer that says that it failed; it ran
-  not_run,         // an answer that says it has not run
-  other_instance,  // another server has the address; not run
-  connect_failed,  // never sent
-  reset,           // the connection ended or was silent; it may have run
-  garbled,         // no answer to this request; it may have run
-  timeout,         // its time was up
+  ok,                // a whole answer of the server
+  error,             // a whole answer that says that it failed; it ran
+  not_run,           // an answer that says it has not run
+  other_instance,    // another server has the address; not run
+  connect_failed,    // never sent
+  reset,             // the connection ended or was silent; it may have run
+  invalid_response,  // no answer to this request; it may have run
+  timeout,           // its time was up
   // Ended here, as its client had left: says nothing of the server.
   cancelled_unsent,  // before a byte of it was written; not run
   cancelled,         // it may have run
@@ -104,9 +104,9 @@
   void sent(Time now, ServerHandle server);
   void ended(Time now, ServerHandle server, Outcome outcome, Duration took);
 
-  const Known* known(ServerHandle server) const;
+  const Known* find(ServerHandle server) const;
   // Handles of servers that are no longer listed and at which nothing is out, since the last call.
-  std::vector<ServerHandle> dropped() { return std::exchange(dropped_, {}); }
+  std::vector<ServerHandle> take_released() { return std::exchange(dropped_, {}); }
   std::size_t size() const { return by_id_.size(); }
 
  private:
--- a/src/system/decisions/units.cpp
+++ b/src/system/decisions/units.cpp
@@ -155,7 +155,7 @@
   settle(now, t);
 }
 
-void Units::granted(Time now, const UnitAnswer& answer) {
+void Units::granted(Time now, const UnitResponse& answer) {
   if (answer.term < term_) return;
   new_holder(now, answer.term);
   const bool late = now - answer.sent > counts::kLatestGrant;
@@ -200,8 +200,8 @@
   if (g.window >= t.present) {
     auto& lease = t.leases[g.window];
     lease.held += g.units;
-    if (g.more > Duration{}) lease.shut = now + g.more;
-    lease.scarce = g.left < kScarce * t.window.limit;
+    if (g.exhausted_for > Duration{}) lease.shut = now + g.exhausted_for;
+    lease.scarce = g.remaining < kScarce * t.window.limit;
   }
   settle(now, t);
   if (!t.waiting.empty()) mark(g.tenant, t);
@@ -218,7 +218,7 @@
   t.waiting.clear();
 }
 
-void Units::lease_ahead(Time now, const std::string& name, Tenant& t, std::vector<UnitOrder>& out) {
+void Units::lease_ahead(Time now, const std::string& name, Tenant& t, std::vector<UnitRequest>& out) {
   const auto starts = start_of(t, t.present);
   const auto ends = start_of(t, t.present + 1);
   const double gone = seconds(now - starts) / seconds(t.window.length);
@@ -250,8 +250,8 @@
   }
 }
 
-std::vector<UnitOrder> Units::orders(Time now) {
-  std::vector<UnitOrder> out;
+std::vector<UnitRequest> Units::orders(Time now) {
+  std::vector<UnitRequest> out;
   if (now >= swept_ + kSweep) {
     swept_ = now;
     for (auto it = tenants_.begin(); it != tenants_.end(); ++it) {
--- a/src/system/decisions/units.hpp
+++ b/src/system/decisions/units.hpp
@@ -24,21 +24,21 @@
 
 using RequestId = std::uint64_t;
 
-struct UnitOrder {  // to be sent to the holder
+struct UnitRequest {  // to be sent to the holder
   std::string tenant;
   int ahead = 0;  // of which window: 0 the present one, 1 the next, ...
   std::uint32_t units = 0;
-  std::int64_t back = -1;  // at least 0: they are handed back, to the count of this window
-  double demand = 0;       // requests a window that this proxy has of the tenant
+  std::int64_t returned_window = -1;  // at least 0: they are handed back, to the count of this window
+  double demand = 0;                  // requests a window that this proxy has of the tenant
 };
 struct UnitGrant {
   std::string tenant;
   std::int64_t window = 0;
-  std::uint32_t units = 0, left = 0;
+  std::uint32_t units = 0, remaining = 0;
   Duration starts{}, ends{};  // from now
-  Duration more{};            // no more of it can be had for so long
+  Duration exhausted_for{};   // no more of it can be had for so long
 };
-struct UnitAnswer {  // of the holder, to one call
+struct UnitResponse {  // of the holder, to one call
   std::uint64_t term = 0;
   Time sent{};  // when the call was sent, by the clock of this process
   std::vector<UnitGrant> grants;
@@ -95,14 +95,14 @@
   void give_back(Time now, const std::string& tenant, Time taken);
 
   // An answer that came too late after its call, or of an older term, brings no units and moves no window.
-  void granted(Time now, const UnitAnswer& answer);
+  void granted(Time now, const UnitResponse& answer);
   void call_failed();  // calls that are out get no answer
   // Another one holds the counts now: what was leased ahead is granted anew by it, what is of the present
   // window stays.
   void new_holder(Time now, std::uint64_t term);
 
   // What is to be asked now, who passes, and who is refused. Called after each of the above and with time.
-  std::vector<UnitOrder> orders(Time now);
+  std::vector<UnitRequest> orders(Time now);
   std::vector<RequestId> passed() { return std::exchange(passed_, {}); }
   std::vector<Turned> turned(Time now);
 
@@ -115,7 +115,7 @@
   void roll(Time now, Tenant& t);
   bool spend(Time now, Tenant& t);
   Time start_of(const Tenant& t, std::int64_t window) const;
-  void lease_ahead(Time now, const std::string& name, Tenant& t, std::vector<UnitOrder>& out);
+  void lease_ahead(Time now, const std::string& name, Tenant& t, std::vector<UnitRequest>& out);
   void mark(const std::string& name, Tenant& t);
   void settle(Time now, Tenant& t);
 
--- a/src/system/proxy/control_client.cpp
+++ b/src/system/proxy/control_client.cpp
@@ -193,7 +193,7 @@
   if (std::exchange(reachable_, reachable) != reachable) listener_.on_holder(reachable);
 }
 
-void ControlClient::request_units(const std::vector<decisions::UnitOrder>& orders) {
+void ControlClient::request_units(const std::vector<decisions::UnitRequest>& orders) {
   const auto d = links_.find(holder_);
   if (d == links_.end() || !d->second->up()) return listener_.on_grants_failed();
   fleet::Outgoing out;
@@ -203,7 +203,8 @@
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setTenant(orders[i].tenant), list[i].setAhead(static_cast<std::uint8_t>(orders[i].ahead));
     const auto units = static_cast<std::int32_t>(orders[i].units);
-    list[i].setUnits(orders[i].back < 0 ? units : -units), list[i].setWindow(orders[i].back);
+    list[i].setUnits(orders[i].returned_window < 0 ? units : -units),
+        list[i].setWindow(orders[i].returned_window);
     list[i].setDemand(static_cast<float>(orders[i].demand));
   }
   d->second->link()->send(out.message());
@@ -228,7 +229,7 @@
   const auto sent = unit_calls_.of(answer.getCall());
   if (!sent || ip != holder_) return;
   if (answer.getRefused()) return listener_.on_grants_failed();
-  decisions::UnitAnswer grants;
+  decisions::UnitResponse grants;
   grants.term = answer.getTerm(), grants.sent = *sent;
   for (const auto g : answer.getGrants()) {
     if (g.getEndsMs() == 0) continue;  // a hand-back has no answer
--- a/src/system/proxy/control_client.hpp
+++ b/src/system/proxy/control_client.hpp
@@ -35,7 +35,7 @@
     virtual void on_behind(bool behind) = 0;
     virtual void on_holder(bool reachable) = 0;
     virtual void on_new_holder(std::uint64_t term) = 0;
-    virtual void on_grants(const decisions::UnitAnswer& answer) = 0;
+    virtual void on_grants(const decisions::UnitResponse& answer) = 0;
     virtual void on_grants_failed() = 0;
   };
   ControlClient(boost::asio::io_context& io, const SystemSettings& settings, const snowknot::Clock& clock,
@@ -45,7 +45,7 @@
   void stop();
   // What the registries are told of this proxy, at once and with each renewal.
   void set_state(bool ready, bool leaving);
-  void request_units(const std::vector<decisions::UnitOrder>& orders);
+  void request_units(const std::vector<decisions::UnitRequest>& orders);
   const fleet::ChangeLog& changes() const { return changes_; }
 
  private:
--- a/src/system/proxy/proxy.cpp
+++ b/src/system/proxy/proxy.cpp
@@ -84,7 +84,7 @@
   std::vector<decisions::RequestId> left;
   for (const auto& [id, exchange] : exchanges_)
     if (exchange.session == session) left.push_back(id);
-  for (const auto id : left) carry_out(decisions_.client_left(clock_.now(), id));
+  for (const auto id : left) carry_out(decisions_.on_client_left(clock_.now(), id));
 }
 
 bool Proxy::is_repeatable(const Request& request) const {
@@ -95,7 +95,7 @@
 void Proxy::on_request(const std::shared_ptr<Session>& session, std::uint64_t number, Request request) {
   const Time now = clock_.now();
   if (!configuration_) {
-    decisions_.refused_without_configuration();
+    decisions_.count_refusal_without_configuration();
     return session->answer(number, {503, kNoConfiguration});
   }
   const auto* route = configuration_->route(request.host, request.target);
@@ -109,8 +109,8 @@
   auto& x = exchanges_[id];
   x.session = session, x.number = number, x.request = std::move(request), x.deadline = now + left;
   if (tenant) x.tenant = tenant->name;
-  carry_out(decisions_.arrive(now, {id, route, tenant, left}));
-  if (!ticking_ && decisions_.open() > 0) tick();
+  carry_out(decisions_.on_request(now, {id, route, tenant, left}));
+  if (!ticking_ && decisions_.open_count() > 0) tick();
 }
 
 void Proxy::carry_out(decisions::Actions actions) {
@@ -118,7 +118,7 @@
     if (const auto* s = std::get_if<decisions::Send>(&action)) {
       send(*s);
     } else if (const auto* request = std::get_if<decisions::RequestUnits>(&action)) {
-      control_client_.request_units(request->orders);
+      control_client_.request_units(request->requests);
     } else if (const auto* r = std::get_if<decisions::Refuse>(&action)) {
       if (const auto x = exchanges_.extract(r->request))
         x.mapped().session->answer(x.mapped().number, {r->status, r->retry_after});
@@ -139,7 +139,7 @@
 
 void Proxy::send(const decisions::Send& s) {
   const auto it = exchanges_.find(s.request);
-  const auto* server = decisions_.known(s.server);
+  const auto* server = decisions_.find_server(s.server);
   if (it == exchanges_.end() || !server) return;
   auto& x = it->second;
   Attempt a;
@@ -171,15 +171,15 @@
 }
 
 void Proxy::end_attempt(decisions::RequestId id, decisions::Outcome outcome, Duration took, bool whole) {
-  carry_out(decisions_.ended(clock_.now(), id, outcome, took, whole));
-  for (const auto h : decisions_.dropped()) upstream_.forget(h);
+  carry_out(decisions_.on_attempt_ended(clock_.now(), id, outcome, took, whole));
+  for (const auto h : decisions_.take_released_servers()) upstream_.forget(h);
 }
 
 void Proxy::tick() {
   ticking_ = true;
   timers_.after(kTick, [this] {
     carry_out(decisions_.tick(clock_.now()));
-    if (decisions_.open() > 0) return tick();
+    if (decisions_.open_count() > 0) return tick();
     ticking_ = false;
   });
 }
@@ -188,10 +188,10 @@
 void Proxy::report() {
   timers_.after(kReport, [this] {
     const auto& departures = decisions_.departures();
-    if (departures != reported_departures_) log_.info(decisions::shown(departures));
+    if (departures != reported_departures_) log_.info(decisions::to_string(departures));
     reported_departures_ = departures;
     const auto& refusals = decisions_.refusals();
-    if (refusals != reported_refusals_) log_.info(decisions::shown(refusals));
+    if (refusals != reported_refusals_) log_.info(decisions::to_string(refusals));
     reported_refusals_ = refusals;
     report();
   });
@@ -206,12 +206,12 @@
 
 void Proxy::on_confirmed(Time at) {
   confirmed_ = true;
-  decisions_.confirmed(at);
+  decisions_.set_confirmed(at);
   check_ready();
 }
 
 void Proxy::on_behind(bool behind) {
-  decisions_.set_behind(behind);
+  decisions_.set_lagging(behind);
   check_ready();
 }
 
@@ -229,22 +229,22 @@
 
 void Proxy::on_servers(const std::vector<fleet::Server>& changed, bool all_known) {
   heard_servers_ = all_known;
-  decisions_.servers(clock_.now(), changed);
-  for (const auto h : decisions_.dropped()) upstream_.forget(h);
+  decisions_.update_servers(clock_.now(), changed);
+  for (const auto h : decisions_.take_released_servers()) upstream_.forget(h);
   check_ready();
 }
 
-void Proxy::on_proxies(const std::vector<std::string>& zone_and_id) { decisions_.proxies(zone_and_id); }
+void Proxy::on_proxies(const std::vector<std::string>& zone_and_id) { decisions_.set_proxies(zone_and_id); }
 
-void Proxy::on_holder(bool reachable) { carry_out(decisions_.holder(clock_.now(), reachable)); }
+void Proxy::on_holder(bool reachable) { carry_out(decisions_.set_holder_reachable(clock_.now(), reachable)); }
 
-void Proxy::on_new_holder(std::uint64_t term) { carry_out(decisions_.new_holder(clock_.now(), term)); }
+void Proxy::on_new_holder(std::uint64_t term) { carry_out(decisions_.on_new_holder(clock_.now(), term)); }
 
-void Proxy::on_grants(const decisions::UnitAnswer& answer) {
-  carry_out(decisions_.granted(clock_.now(), answer));
+void Proxy::on_grants(const decisions::UnitResponse& answer) {
+  carry_out(decisions_.on_grants(clock_.now(), answer));
 }
 
-void Proxy::on_grants_failed() { carry_out(decisions_.grants_failed(clock_.now())); }
+void Proxy::on_grants_failed() { carry_out(decisions_.on_grants_failed(clock_.now())); }
 
 void Proxy::drain(std::function<void()> ended) {
   if (drain_) return;
@@ -254,7 +254,7 @@
   check_ready();
   log_drain("begins");
   timers_.at(drain_->accepts_until, [this] { stop_accepting(); });
-  timers_.at(drain_->gives_up, [this] { give_up(); });
+  timers_.at(drain_->abort_at, [this] { give_up(); });
 }
 
 void Proxy::stop_accepting() {
@@ -267,7 +267,7 @@
 void Proxy::give_up() {
   if (!drained_) return;
   log_drain("gives up what is open");
-  carry_out(decisions_.give_up(clock_.now()));
+  carry_out(decisions_.abort_open_requests(clock_.now()));
   const auto all = sessions_;
   for (const auto& session : all) session->take_no_more();
 }
@@ -277,10 +277,10 @@
   const auto all = sessions_;
   for (const auto& session : all) session->close_if_idle();
   const bool closed = sessions_.empty() && exchanges_.empty();
-  if (!closed && clock_.now() < drain_->ends)
+  if (!closed && clock_.now() < drain_->exit_at)
     return void(timers_.after(kTick, [this] { end_when_closed(); }));
   log_drain("ends");
-  log_.info(decisions::shown(decisions_.refusals()));
+  log_.info(decisions::to_string(decisions_.refusals()));
   control_client_.stop();
   std::exchange(drained_, nullptr)();
 }
@@ -292,10 +292,10 @@
     if (!session->has_requests()) ++idle;
     held += session->answers_held();
   }
-  log_.info("drain " + step + ", " + std::to_string(millis(clock_.now() - drain_->began)) +
+  log_.info("drain " + step + ", " + std::to_string(millis(clock_.now() - drain_->started_at)) +
             " ms after SIGTERM: " + std::to_string(sessions_.size()) + " connections, " +
             std::to_string(idle) + " without a request; " +
-            decisions::shown(decisions_.open_requests(clock_.now())) + "; " + std::to_string(held) +
+            decisions::to_string(decisions_.open_requests(clock_.now())) + "; " + std::to_string(held) +
             " answers wait behind others");
 }
 
--- a/src/system/proxy/proxy.hpp
+++ b/src/system/proxy/proxy.hpp
@@ -38,7 +38,7 @@
   void on_behind(bool behind) override;
   void on_holder(bool reachable) override;
   void on_new_holder(std::uint64_t term) override;
-  void on_grants(const decisions::UnitAnswer& answer) override;
+  void on_grants(const decisions::UnitResponse& answer) override;
   void on_grants_failed() override;
 
  private:
--- a/src/system/proxy/upstream.cpp
+++ b/src/system/proxy/upstream.cpp
@@ -91,30 +91,30 @@
       http::Head head;
       const auto r = http::read_answer(in, kHead, head);
       if (r.read == http::Read::more) return false;
-      if (r.read != http::Read::done) return end(Outcome::garbled), true;
+      if (r.read != http::Read::done) return end(Outcome::invalid_response), true;
       if (head.status < 200) {
         in.erase(0, r.used);
         continue;
       }
       const auto kind = http::body_of_answer(head, attempt.method);
       if (!kind || kind->to_end || (kind->kind.coding == stream::Coding::length && kind->kind.length > kBody))
-        return end(Outcome::garbled), true;
+        return end(Outcome::invalid_response), true;
       std::string_view rest = std::string_view(in).substr(r.used);
       if (kind->kind.coding == stream::Coding::length && rest.size() < kind->kind.length) return false;
       BodyDecoder decoder(kind->kind);
       std::string body;
       while (!decoder.done()) {
         const auto step = decoder.next(rest);
-        if (step.status == BodyDecoder::Status::bad) return end(Outcome::garbled), true;
+        if (step.status == BodyDecoder::Status::bad) return end(Outcome::invalid_response), true;
         body.append(step.data);
         rest.remove_prefix(step.used);
-        if (body.size() > kBody) return end(Outcome::garbled), true;
+        if (body.size() > kBody) return end(Outcome::invalid_response), true;
         if (step.status == BodyDecoder::Status::more) return false;
       }
       const auto id = head.only("Attempt-Id");
       if (id ? *id != attempt.attempt_id : head.has("Attempt-Id")) {  // an answer to another request
         surplus = true;
-        if (++skipped > kSurplus) return end(Outcome::garbled), true;
+        if (++skipped > kSurplus) return end(Outcome::invalid_response), true;
         in.erase(0, in.size() - rest.size());
         if (in.empty()) return false;
         continue;
@@ -158,7 +158,7 @@
     if (head.status >= 200 && head.status < 300) {
       const bool whole = head.has("Seal") && head.only("Attempt-Id") == attempt.attempt_id &&
                          !head.has("Content-Encoding");
-      return whole ? Outcome::ok : Outcome::garbled;
+      return whole ? Outcome::ok : Outcome::invalid_response;
     }
     if (head.status >= 500 || head.status == 429 || head.status == 408) return Outcome::error;
     return Outcome::ok;  // its own word about the request: it is passed on
--- a/src/system/registry/registry.cpp
+++ b/src/system/registry/registry.cpp
@@ -271,10 +271,11 @@
     }
     const auto g = counts_.add(now, tenant, quota, a.getAhead(), static_cast<std::uint32_t>(a.getUnits()),
                                p.id, std::clamp<double>(a.getDemand(), 0, 1e6));
-    list[i].setWindow(g.window), list[i].setUnits(g.units), list[i].setLeft(g.left);
+    list[i].setWindow(g.window), list[i].setUnits(g.units), list[i].setLeft(g.remaining);
     list[i].setStartsMs(
         static_cast<std::int32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(g.starts).count()));
-    list[i].setEndsMs(millis(g.ends)), list[i].setMoreMs(millis(g.more + std::chrono::microseconds(999)));
+    list[i].setEndsMs(millis(g.ends)),
+        list[i].setMoreMs(millis(g.exhausted_for + std::chrono::microseconds(999)));
   }
   p.link->send(out.message());
 }
--- a/tests/system/decisions_test.cpp
+++ b/tests/system/decisions_test.cpp
@@ -32,7 +32,7 @@
   CrowdedZone() {
     std::vector<std::string> proxies;
     for (int i = 1; i <= 40; ++i) proxies.push_back("a1/p" + std::to_string(i));
-    d.proxies(proxies);
+    d.set_proxies(proxies);
     for (int i = 0; i < 12; ++i) list("near" + std::to_string(i), "a1");
     for (int i = 0; i < 12; ++i) list("far" + std::to_string(i), "b1");
   }
@@ -87,12 +87,12 @@
   fleet::Server late;
   late.id = "one", late.service = "s", late.address = "10.0.0.9:80", late.zone = "a1", late.calls = 0,
   late.phase = fleet::Phase::GONE;
-  w.d.servers(w.now, {late});
+  w.d.update_servers(w.now, {late});
   BOOST_TEST(w.server_of(w.one(w.ask())) == "one");
 }
 
 BOOST_AUTO_TEST_CASE(given_a_request_that_may_not_repeat_when_it_may_have_run_then_it_fails) {
-  for (const auto o : {Outcome::reset, Outcome::garbled, Outcome::timeout}) {
+  for (const auto o : {Outcome::reset, Outcome::invalid_response, Outcome::timeout}) {
     World w({.kind = "mutating"});
     w.list("one", "a1"), w.list("two", "a1");
     w.ask();
@@ -133,7 +133,7 @@
   int repeats = 0;
   for (int i = 0; i < 1000; ++i) {
     w.now += 10ms;
-    w.d.confirmed(w.now);
+    w.d.set_confirmed(w.now);
     w.ask();
     if (std::holds_alternative<Send>(w.end(Outcome::reset, false))) ++repeats, w.end(Outcome::ok);
   }
@@ -160,7 +160,7 @@
   w.list("one", "a1");
   w.ask();
   BOOST_TEST(std::holds_alternative<Refuse>(w.end(Outcome::other_instance)));
-  BOOST_TEST(w.d.dropped().size() == 1u);
+  BOOST_TEST(w.d.take_released_servers().size() == 1u);
   BOOST_TEST(std::holds_alternative<Refuse>(w.one(w.ask())));
 }
 
@@ -177,7 +177,7 @@
           p < 3    ? "a1"
           : p == 3 ? "a2"
                    : "b1"));
-      proxies.back()->d.proxies(names);
+      proxies.back()->d.set_proxies(names);
       proxies.back()->list("cold", "b1", fleet::Phase::READY, 60s);
     }
     std::deque<Time> sent;
@@ -185,7 +185,7 @@
     for (Duration t{}; t < 20s; t += 7ms)
       for (auto& p : proxies) {
         p->now = Time{1h} + t;
-        p->d.confirmed(p->now);
+        p->d.set_confirmed(p->now);
         std::deque<Action> open;
         const auto take = [&](Actions actions) { open.insert(open.end(), actions.begin(), actions.end()); };
         take(p->ask(40ms));
@@ -196,7 +196,7 @@
           const auto* s = std::get_if<Send>(&a);
           if (s == nullptr) continue;
           sent.push_back(p->now), ++all;
-          take(p->d.ended(p->now, s->request, Outcome::ok, 50ms, true));
+          take(p->d.on_attempt_ended(p->now, s->request, Outcome::ok, 50ms, true));
         }
         while (!sent.empty() && sent.front() <= p->now - 1s) sent.pop_front();
         worst = std::max(worst, sent.size());
@@ -231,7 +231,7 @@
   BOOST_TEST((first.valid_until > confirmed + 4s && first.valid_until < confirmed + 5s));
   // Its connection came up too late: it is not sent to another server either.
   w.now = first.valid_until;
-  const auto later = w.one(w.d.ended(w.now, first.request, Outcome::connect_failed, 1ms, false));
+  const auto later = w.one(w.d.on_attempt_ended(w.now, first.request, Outcome::connect_failed, 1ms, false));
   BOOST_TEST(std::get<Refuse>(later).status == 503);
 }
 
@@ -246,7 +246,7 @@
   const auto refused = w.one(w.ask());
   BOOST_REQUIRE(std::holds_alternative<Refuse>(refused));
   BOOST_TEST(std::get<Refuse>(refused).status == 503);
-  w.d.confirmed(w.now);
+  w.d.set_confirmed(w.now);
   BOOST_TEST(std::holds_alternative<Send>(w.one(w.ask())));
 }
 
@@ -258,7 +258,7 @@
   BOOST_TEST(w.d.may_deny(confirmed));
   BOOST_TEST(w.d.may_deny(confirmed + bound - 1ms));
   BOOST_TEST(!w.d.may_deny(confirmed + bound));
-  w.d.confirmed(confirmed + 1s);
+  w.d.set_confirmed(confirmed + 1s);
   BOOST_TEST(w.d.may_deny(confirmed + bound));
   Decisions none({"p", "z", "r"}, {}, Bounds{}, 1);
   BOOST_TEST(!none.may_deny(confirmed));
@@ -283,16 +283,16 @@
   w.list("one", "a1");
   const Time confirmed = w.now;
   const Duration bound = 2500ms;  // apply_ms
-  w.d.set_behind(true);
+  w.d.set_lagging(true);
   w.now = confirmed + bound - 1ms;
   BOOST_TEST(std::holds_alternative<Send>(w.one(w.ask())));
   w.now = confirmed + bound;
   BOOST_TEST(std::get<Refuse>(w.one(w.ask())).status == 503);
   // Not confirmed for as long, but not known to be old: the core is out of reach.
-  w.d.set_behind(false);
+  w.d.set_lagging(false);
   BOOST_TEST(std::holds_alternative<Send>(w.one(w.ask())));
-  w.d.set_behind(true);
-  w.d.confirmed(w.now - 1s);
+  w.d.set_lagging(true);
+  w.d.set_confirmed(w.now - 1s);
   BOOST_TEST(std::holds_alternative<Send>(w.one(w.ask())));
 }
 
--- a/tests/system/decisions_world.hpp
+++ b/tests/system/decisions_world.hpp
@@ -39,8 +39,8 @@
                  const std::string& zone = "a1")
       : c(configured(s)), d({name, zone, kZones.at(zone)}, kZones, bounds(s), seed) {
     d.configure(now, c);
-    d.proxies({"a1/p1", "a1/p2", "a2/p3", "b1/p4", "b1/p5", "b1/p6", "b1/p7"});
-    d.confirmed(now);
+    d.set_proxies({"a1/p1", "a1/p2", "a2/p3", "b1/p4", "b1/p5", "b1/p6", "b1/p7"});
+    d.set_confirmed(now);
   }
   static Bounds bounds(const Setup& s) {
     Bounds b;
@@ -53,19 +53,19 @@
     r.id = server, r.service = "s", r.address = "10.0.0.1:80", r.zone = zone, r.cap = 4, r.phase = phase,
     r.calls = ++calls, r.heard = now;
     r.cold_until = cold > Duration{} ? now + cold : Time{};
-    d.servers(now, {r});
+    d.update_servers(now, {r});
   }
   Action one(Actions actions) {
     BOOST_REQUIRE(actions.size() == 1);
     return actions[0];
   }
-  Actions ask(Duration left = 1s) { return d.arrive(now, {++id, &c->routes[0], &c->tenants[0], left}); }
+  Actions ask(Duration left = 1s) { return d.on_request(now, {++id, &c->routes[0], &c->tenants[0], left}); }
   std::string server_of(const Action& a) {
     const auto* s = std::get_if<Send>(&a);
     BOOST_REQUIRE(s != nullptr);
-    return d.known(s->server)->id;
+    return d.find_server(s->server)->id;
   }
-  Action end(Outcome o, bool whole = true) { return one(d.ended(now, id, o, 50ms, whole)); }
+  Action end(Outcome o, bool whole = true) { return one(d.on_attempt_ended(now, id, o, 50ms, whole)); }
 
   Time now{1h};
   std::shared_ptr<const Configuration> c;
--- a/tests/system/departed_clients_test.cpp
+++ b/tests/system/departed_clients_test.cpp
@@ -26,11 +26,11 @@
 // A proxy that may ask the holder of the counts for units.
 struct MeteredWorld : World {
   explicit MeteredWorld(const Setup& setup = {.per_s = 1000}, std::uint64_t seed = 1) : World(setup, seed) {
-    d.new_holder(now, kTerm);
-    d.holder(now, true);
+    d.on_new_holder(now, kTerm);
+    d.set_holder_reachable(now, true);
   }
   Actions grant(std::uint32_t units, std::int64_t window = 1) {
-    return d.granted(now, {kTerm, now, {{"t", window, units, 1000, {}, 1s, {}}}});
+    return d.on_grants(now, {kTerm, now, {{"t", window, units, 1000, {}, 1s, {}}}});
   }
   static constexpr std::uint64_t kTerm = 1;
 };
@@ -49,7 +49,7 @@
   void run() {
     for (int step = 0; step < 400; ++step) {
       world_.now += Duration(1ms) * static_cast<int>(random_() % 20);
-      world_.d.confirmed(world_.now);
+      world_.d.set_confirmed(world_.now);
       one_event(step / 40);
     }
     for (int step = 0; step < 1000 && !open_.empty(); ++step) {
@@ -58,7 +58,7 @@
       take(world_.d.tick(world_.now));
     }
     BOOST_TEST(open_.empty(), "seed " << seed_);
-    BOOST_TEST(world_.d.open() == 0u, "seed " << seed_);
+    BOOST_TEST(world_.d.open_count() == 0u, "seed " << seed_);
   }
 
  private:
@@ -73,7 +73,7 @@
         if (id && open_.at(*id)) end_one(*id);
         break;
       case 2:
-        if (id && left_.insert(*id).second) take(world_.d.client_left(world_.now, *id));
+        if (id && left_.insert(*id).second) take(world_.d.on_client_left(world_.now, *id));
         break;
       case 3:
         if (std::exchange(asked_, false))
@@ -91,7 +91,7 @@
                                              Outcome::reset, Outcome::not_run, Outcome::connect_failed};
     const auto outcome = kOutcomes[random_() % kOutcomes.size()];
     open_[id] = false;
-    take(world_.d.ended(world_.now, id, outcome, 50ms, outcome == Outcome::ok));
+    take(world_.d.on_attempt_ended(world_.now, id, outcome, 50ms, outcome == Outcome::ok));
   }
   void take(const Actions& actions) {
     for (const auto& action : actions) std::visit([&](const auto& one) { on(one); }, action);
@@ -107,7 +107,7 @@
     if (cancel.unsent_only && !unsent) return;
     open_[cancel.request] = false;
     const auto outcome = unsent ? Outcome::cancelled_unsent : Outcome::cancelled;
-    take(world_.d.ended(world_.now, cancel.request, outcome, {}, false));
+    take(world_.d.on_attempt_ended(world_.now, cancel.request, outcome, {}, false));
   }
   void on(const Drop& drop) { final_of(drop.request, true); }
   void on(const Refuse& refuse) { final_of(refuse.request, false); }
@@ -137,16 +137,16 @@
   w.list("one", "a1");
   for (int i = 0; i < 10; ++i) w.one(w.ask());  // 2.5 times its slots
   BOOST_TEST(w.ask().empty());                  // it waits for a place
-  BOOST_TEST(holds_one<Drop>(w.d.client_left(w.now, w.id)));
-  BOOST_TEST(count_of_sends(w.d.ended(w.now, 1, Outcome::ok, 50ms, true)) == 0u);
-  BOOST_TEST(w.d.open() == 9u);
+  BOOST_TEST(holds_one<Drop>(w.d.on_client_left(w.now, w.id)));
+  BOOST_TEST(count_of_sends(w.d.on_attempt_ended(w.now, 1, Outcome::ok, 50ms, true)) == 0u);
+  BOOST_TEST(w.d.open_count() == 9u);
 }
 
 BOOST_AUTO_TEST_CASE(given_a_request_that_waits_for_units_when_its_client_leaves_then_the_next_has_them) {
   MeteredWorld w;
   w.list("one", "a1");
   BOOST_TEST(holds_one<RequestUnits>(w.ask()));
-  BOOST_TEST(holds_one<Drop>(w.d.client_left(w.now, w.id)));
+  BOOST_TEST(holds_one<Drop>(w.d.on_client_left(w.now, w.id)));
   BOOST_TEST(count_of_sends(w.grant(1)) == 0u);
   BOOST_TEST(count_of_sends(w.ask()) == 1u);
 }
@@ -159,12 +159,12 @@
   w.grant(11);
   for (int i = 0; i < 9; ++i) BOOST_TEST(count_of_sends(w.ask()) == 1u);
   BOOST_TEST(count_of_sends(w.ask()) == 0u);  // it has the eleventh unit, and waits for a place
-  w.d.client_left(w.now, w.id);
-  w.d.ended(w.now, 1, Outcome::ok, 50ms, true);
+  w.d.on_client_left(w.now, w.id);
+  w.d.on_attempt_ended(w.now, 1, Outcome::ok, 50ms, true);
   BOOST_TEST(count_of_sends(w.ask()) == 1u);
   // Likewise one whose connection had not come up.
-  BOOST_TEST(holds_one<Cancel>(w.d.client_left(w.now, w.id)));
-  w.d.ended(w.now, w.id, Outcome::cancelled_unsent, {}, false);
+  BOOST_TEST(holds_one<Cancel>(w.d.on_client_left(w.now, w.id)));
+  w.d.on_attempt_ended(w.now, w.id, Outcome::cancelled_unsent, {}, false);
   BOOST_TEST(count_of_sends(w.ask()) == 1u);
 }
 
@@ -172,12 +172,12 @@
   World w;
   w.list("one", "a1"), w.list("two", "a1");
   w.ask();
-  const auto told = w.one(w.d.client_left(w.now, w.id));
+  const auto told = w.one(w.d.on_client_left(w.now, w.id));
   BOOST_REQUIRE(std::holds_alternative<Cancel>(told));
   BOOST_TEST(!std::get<Cancel>(told).unsent_only);
-  BOOST_TEST(w.d.client_left(w.now, w.id).empty());  // once
-  BOOST_TEST(holds_one<Drop>(w.d.ended(w.now, w.id, Outcome::cancelled, {}, false)));
-  BOOST_TEST(w.d.open() == 0u);
+  BOOST_TEST(w.d.on_client_left(w.now, w.id).empty());  // once
+  BOOST_TEST(holds_one<Drop>(w.d.on_attempt_ended(w.now, w.id, Outcome::cancelled, {}, false)));
+  BOOST_TEST(w.d.open_count() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(
@@ -187,11 +187,11 @@
     World w({.kind = "mutating"});
     w.list("one", "a1"), w.list("two", "a1");
     w.ask();
-    const auto told = w.one(w.d.client_left(w.now, w.id));
+    const auto told = w.one(w.d.on_client_left(w.now, w.id));
     BOOST_REQUIRE(std::holds_alternative<Cancel>(told));
     BOOST_TEST(std::get<Cancel>(told).unsent_only);
     // Whatever comes of it, it is neither answered nor sent again.
-    BOOST_TEST(holds_one<Drop>(w.d.ended(w.now, w.id, outcome, 50ms, outcome == Outcome::ok)));
+    BOOST_TEST(holds_one<Drop>(w.d.on_attempt_ended(w.now, w.id, outcome, 50ms, outcome == Outcome::ok)));
   }
 }
 
@@ -201,8 +201,8 @@
   for (int i = 0; i < 100; ++i) {
     BOOST_TEST(w.server_of(w.one(w.ask())) == "near");
     w.now += 5ms;
-    w.d.client_left(w.now, w.id);
-    w.d.ended(w.now, w.id, Outcome::cancelled, {}, false);
+    w.d.on_client_left(w.now, w.id);
+    w.d.on_attempt_ended(w.now, w.id, Outcome::cancelled, {}, false);
     w.one(w.ask());
     w.now += 50ms;
     w.end(Outcome::ok);
@@ -214,12 +214,12 @@
   w.list("dark", "a1"), w.list("sound", "a1");
   int to_dark = 0;
   for (int i = 0; i < 200; ++i) {
-    w.d.confirmed(w.now);
+    w.d.set_confirmed(w.now);
     if (w.server_of(w.one(w.ask())) == "dark") {
       ++to_dark;
       w.now += 300ms;
-      w.d.client_left(w.now, w.id);
-      w.d.ended(w.now, w.id, Outcome::cancelled, {}, false);
+      w.d.on_client_left(w.now, w.id);
+      w.d.on_attempt_ended(w.now, w.id, Outcome::cancelled, {}, false);
     } else {
       w.now += 50ms;
       w.end(Outcome::ok);
--- a/tests/system/drain_test.cpp
+++ b/tests/system/drain_test.cpp
@@ -50,17 +50,17 @@
   void run() {
     const Time begins = world_.now + Duration(1ms) * static_cast<int>(random_() % 1000);
     const DrainSchedule schedule(begins, 6s);
-    while (world_.now < schedule.gives_up) {
+    while (world_.now < schedule.abort_at) {
       world_.now += Duration(1ms) * static_cast<int>(random_() % 40);
-      world_.d.confirmed(world_.now);
+      world_.d.set_confirmed(world_.now);
       if (!schedule_ && world_.now >= begins) world_.d.begin_drain(schedule_.emplace(schedule));
       one_event();
     }
     giving_up_ = true;
-    take(world_.d.give_up(world_.now));
+    take(world_.d.abort_open_requests(world_.now));
     BOOST_TEST(open_.empty(), "seed " << seed_);
-    BOOST_TEST(world_.d.open() == 0u, "seed " << seed_);
-    take(world_.d.arrive(world_.now, arrival(5s)));
+    BOOST_TEST(world_.d.open_count() == 0u, "seed " << seed_);
+    take(world_.d.on_request(world_.now, arrival(5s)));
     BOOST_TEST(open_.empty(), "seed " << seed_);  // refused
   }
 
@@ -74,7 +74,8 @@
     return {world_.id, &world_.c->routes[0], &world_.c->tenants[0], left};
   }
   void one_event() {
-    if (random_() % 3 != 0) return take(world_.d.arrive(world_.now, arrival(random_() % 2 == 0 ? 5s : 1s)));
+    if (random_() % 3 != 0)
+      return take(world_.d.on_request(world_.now, arrival(random_() % 2 == 0 ? 5s : 1s)));
     if (open_.empty()) return take(world_.d.tick(world_.now));
     const auto id = std::next(open_.begin(), static_cast<std::ptrdiff_t>(random_() % open_.size()))->first;
     if (open_[id].at_server) end(id);
@@ -84,7 +85,7 @@
                                              Outcome::connect_failed};
     const auto outcome = kOutcomes[random_() % kOutcomes.size()];
     note_end(id, outcome);
-    take(world_.d.ended(world_.now, id, outcome, 50ms, outcome == Outcome::ok));
+    take(world_.d.on_attempt_ended(world_.now, id, outcome, 50ms, outcome == Outcome::ok));
   }
   void note_end(RequestId id, Outcome outcome) {
     auto& open = open_.at(id);
@@ -104,7 +105,7 @@
     BOOST_TEST(open_.at(cancel.request).at_server, "seed " << seed_);
     const auto outcome = random_() % 2 == 0 ? Outcome::cancelled : Outcome::cancelled_unsent;
     note_end(cancel.request, outcome);
-    take(world_.d.ended(world_.now, cancel.request, outcome, {}, false));
+    take(world_.d.on_attempt_ended(world_.now, cancel.request, outcome, {}, false));
   }
   void on(const Refuse& refuse) {
     BOOST_TEST(!open_.at(refuse.request).may_have_run, "seed " << seed_);
@@ -246,10 +247,10 @@
     const DrainSchedule schedule(now, grace);
     const Duration seen_late = std::min<Duration>(300ms, grace / 20);  // the signal, after it was sent
     BOOST_TEST((schedule.accepts_until + seen_late <= now + std::min<Duration>(3s, grace / 2)));
-    BOOST_TEST((schedule.accepts_until < schedule.gives_up));
-    BOOST_TEST((schedule.gives_up >= now + grace * 5 / 6));
-    BOOST_TEST((schedule.gives_up + seen_late < schedule.ends));
-    BOOST_TEST((schedule.ends < now + grace));
+    BOOST_TEST((schedule.accepts_until < schedule.abort_at));
+    BOOST_TEST((schedule.abort_at >= now + grace * 5 / 6));
+    BOOST_TEST((schedule.abort_at + seen_late < schedule.exit_at));
+    BOOST_TEST((schedule.exit_at < now + grace));
   }
 }
 
@@ -266,12 +267,12 @@
 BOOST_AUTO_TEST_CASE(given_a_request_that_waits_for_units_when_a_drain_gives_up_then_it_is_refused) {
   World w({.per_s = 1000});
   w.list("one", "a1");
-  w.d.new_holder(w.now, 1);
-  w.d.holder(w.now, true);
+  w.d.on_new_holder(w.now, 1);
+  w.d.set_holder_reachable(w.now, true);
   BOOST_TEST(std::holds_alternative<RequestUnits>(w.one(w.ask())));
   w.d.begin_drain(DrainSchedule(w.now, 6s));
-  BOOST_TEST(std::holds_alternative<Refuse>(w.one(w.d.give_up(w.now))));
-  BOOST_TEST(w.d.open() == 0u);
+  BOOST_TEST(std::holds_alternative<Refuse>(w.one(w.d.abort_open_requests(w.now))));
+  BOOST_TEST(w.d.open_count() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(given_a_drain_when_requests_come_then_they_are_begun_while_they_can_still_end) {
@@ -301,15 +302,15 @@
     const auto sent = w.id;
     w.ask();
     const auto unsent = w.id;
-    const auto cancels = w.d.give_up(w.now);
+    const auto cancels = w.d.abort_open_requests(w.now);
     BOOST_REQUIRE(cancels.size() == 2u);
     for (const auto& cancel : cancels) BOOST_TEST(!std::get<Cancel>(cancel).unsent_only);
-    const auto failed_end = w.one(w.d.ended(w.now, sent, Outcome::cancelled, {}, false));
+    const auto failed_end = w.one(w.d.on_attempt_ended(w.now, sent, Outcome::cancelled, {}, false));
     BOOST_REQUIRE(std::holds_alternative<Fail>(failed_end));
     BOOST_TEST(std::get<Fail>(failed_end).status == 504);
     BOOST_TEST(std::holds_alternative<Refuse>(
-        w.one(w.d.ended(w.now, unsent, Outcome::cancelled_unsent, {}, false))));
-    BOOST_TEST(w.d.open() == 0u);
+        w.one(w.d.on_attempt_ended(w.now, unsent, Outcome::cancelled_unsent, {}, false))));
+    BOOST_TEST(w.d.open_count() == 0u);
   }
 }
 
--- a/tests/system/shares_test.cpp
+++ b/tests/system/shares_test.cpp
@@ -44,7 +44,7 @@
   double granted = 0;
   for (int i = 0; i < 100; ++i) granted += c.add(now, "t", q, 0, 3).units;
   BOOST_TEST(granted == w.limit);
-  BOOST_TEST(c.add(now, "t", q, 0, 1).left == 0u);
+  BOOST_TEST(c.add(now, "t", q, 0, 1).remaining == 0u);
   // What was granted ahead is missing when that window is the present one.
   const auto ahead = c.add(now, "t", q, 1, 5);
   BOOST_TEST(ahead.units == 5u);
@@ -413,24 +413,24 @@
     if (orders.empty() || !reachable) return;
     ++calls;
     const Duration way = i < near ? Duration(500us) : trip / 2;
-    wire.push({now + way, order++, [this, i, orders, way, sent = now, its_term = term] {
-                 if (its_term != term || !reachable) return;
-                 std::vector<decisions::UnitGrant> grants;
-                 for (const auto& a : orders) {
-                   if (a.back >= 0) {
-                     holder.hand_back(now, a.tenant, quota, a.back, a.units);
-                     continue;
-                   }
-                   const auto g = holder.add(now, a.tenant, quota, a.ahead, a.units, std::to_string(i),
-                                             a.demand);
-                   grants.push_back({a.tenant, g.window, g.units, g.left, g.starts, g.ends, g.more});
-                 }
-                 wire.push({now + way + stalled, order++, [this, i, grants, sent, its_term] {
-                              if (its_term != term) return;
-                              proxies[i].granted(now, {its_term, sent, grants});
-                              settle(i);
-                            }});
-               }});
+    wire.push(
+        {now + way, order++, [this, i, orders, way, sent = now, its_term = term] {
+           if (its_term != term || !reachable) return;
+           std::vector<decisions::UnitGrant> grants;
+           for (const auto& a : orders) {
+             if (a.returned_window >= 0) {
+               holder.hand_back(now, a.tenant, quota, a.returned_window, a.units);
+               continue;
+             }
+             const auto g = holder.add(now, a.tenant, quota, a.ahead, a.units, std::to_string(i), a.demand);
+             grants.push_back({a.tenant, g.window, g.units, g.remaining, g.starts, g.ends, g.exhausted_for});
+           }
+           wire.push({now + way + stalled, order++, [this, i, grants, sent, its_term] {
+                        if (its_term != term) return;
+                        proxies[i].granted(now, {its_term, sent, grants});
+                        settle(i);
+                      }});
+         }});
   }
   void pass(std::uint64_t id) {
     ++passed;
@@ -576,7 +576,7 @@
     u.granted(now, {1, now, {{"t", 7, 20, left, Duration{}, length, left == 0 ? length : Duration{}}}});
     u.orders(now + length / 4);
     std::uint32_t back = 0;
-    for (const auto& a : u.orders(now + length * 2 / 3)) back += a.back == 7 ? a.units : 0;
+    for (const auto& a : u.orders(now + length * 2 / 3)) back += a.returned_window == 7 ? a.units : 0;
     BOOST_TEST(back == (left == 0 ? 20u : 0u));
   }
 }
