--- a/src/system/counts/counts.cpp
+++ b/src/system/counts/counts.cpp
@@ -5,51 +5,50 @@
 
 namespace docklift::counts {
 namespace {
-constexpr int kFewestParts = 2, kMostParts = 10;  // of the span: windows of 0.5 to 2.5 s where it is 5 s
-constexpr Duration kEdge = std::chrono::milliseconds(
-    120);                               // by which two machines may differ on where a window begins
-constexpr double kMoreThanRate = 1.08;  // of the rate that a window's limit should give
-constexpr double
-    kMarginPart = 0.3;  // of excess and slack left alone: requests are judged when they arrive at servers
-constexpr double
-    kPressed = 0.95;  // of the limit, that all proxies together must want for each to be kept to its part
-constexpr double
-    kSharedFor = 0.6;  // part of a window for which that is so: then who comes first has what is left
-constexpr Duration kShareKept = std::chrono::seconds(6);
+constexpr int kMinWindowsPerSpan = 2, kMaxWindowsPerSpan = 10;  // windows of 0.5 to 2.5 s in a span of 5 s
+// How far the machines may differ on when a window begins.
+constexpr Duration kWindowSkew = std::chrono::milliseconds(120);
+constexpr double kRateFactor = 1.08;  // times the tenant's rate, that a window's limit should allow
+// Of excess and slack, left unused: quotas are evaluated when requests arrive at servers.
+constexpr double kMarginFraction = 0.3;
+// Of the limit: if all proxies together want more, each is limited to its share.
+constexpr double kContentionThreshold = 0.95;
+// Of a window, for which shares hold; after it, the first to ask gets what is left.
+constexpr double kSharedFraction = 0.6;
+constexpr Duration kShareLifetime = std::chrono::seconds(6);  // after the proxy's last request
 }  // namespace
 
-Window window_of(const Quota& q, const Judged& judged) {
+Window window_of(const Quota& q, const QuotaTolerance& tolerance) {
   if (q.per_s <= 0) return {};
-  const double told = q.per_s * judged.span_s + q.burst;
-  const double allowed = told + (told * judged.excess + judged.slack) * (1 - kMarginPart);
-  for (int parts = kFewestParts;; ++parts) {
-    const double length = judged.span_s / parts;
-    const double limit = std::max(1.0, std::floor(allowed / (parts + 1)));
-    if (parts == kMostParts || limit >= kMoreThanRate * q.per_s * length)
+  const double nominal = q.per_s * tolerance.span_s + q.burst;
+  const double allowed = nominal + (nominal * tolerance.excess + tolerance.slack) * (1 - kMarginFraction);
+  for (int windows = kMinWindowsPerSpan;; ++windows) {
+    const double length = tolerance.span_s / windows;
+    const double limit = std::max(1.0, std::floor(allowed / (windows + 1)));
+    if (windows == kMaxWindowsPerSpan || limit >= kRateFactor * q.per_s * length)
       return {from_seconds(length), limit};
   }
 }
 
 void Counts::begin(Time now, bool first) {
   counts_.clear();
-  begun_ = now, first_ = first;
+  began_ = now, first_ = first;
 }
 
-Counts::Count& Counts::at(Time now, const std::string& tenant, std::int64_t present) {
+Counts::TenantCount& Counts::count_at(Time now, const std::string& tenant, std::int64_t current) {
   auto [it, fresh] = counts_.try_emplace(tenant);
   auto& c = it.value();
-  c.at = now;
-  if (!fresh && c.window == present) return c;
-  // Also back in time by no more than that: the clock does not go backwards, but a quota's window may have
-  // changed.
-  const auto step = fresh ? kAhead + 1 : present - c.window;
-  const auto shift = [step](double(&of)[kAhead + 1]) {
-    for (int i = 0; i <= kAhead; ++i) of[i] = step > 0 && i + step <= kAhead ? of[i + step] : 0;
+  c.updated_at = now;
+  if (!fresh && c.window == current) return c;
+  // The step may be negative: the clock is monotonic, but a changed quota may have changed the window length.
+  const auto step = fresh ? kWindowsAhead + 1 : current - c.window;
+  const auto shift = [step](double(&of)[kWindowsAhead + 1]) {
+    for (int i = 0; i <= kWindowsAhead; ++i) of[i] = step > 0 && i + step <= kWindowsAhead ? of[i + step] : 0;
   };
   shift(c.used);
   c.demand = 0;
   for (auto share = c.shares.begin(); share != c.shares.end();) {
-    if (now - share->second.at > kShareKept) {
+    if (now - share->second.updated_at > kShareLifetime) {
       share = c.shares.erase(share);
       continue;
     }
@@ -57,49 +56,50 @@
     c.demand += share->second.demand;
     ++share;
   }
-  c.window = present;
+  c.window = current;
   return c;
 }
 
 Grant Counts::add(Time now, const std::string& tenant, const Quota& quota, int ahead, std::uint32_t units,
                   const std::string& proxy, double demand) {
-  const auto w = window_of(quota, judged_);
+  const auto w = window_of(quota, tolerance_);
   Grant g;
   if (w.length == Duration{}) return g;
-  const std::int64_t now_in = now.time_since_epoch() / w.length;
-  auto& c = at(now, tenant, now_in);
-  ahead = std::clamp(ahead, 0, kAhead);
+  const std::int64_t current = now.time_since_epoch() / w.length;
+  auto& c = count_at(now, tenant, current);
+  ahead = std::clamp(ahead, 0, kWindowsAhead);
   auto& used = c.used[ahead];
-  // Of a window that began before this holder did, others have granted; proxies see its edges a little off.
-  const Time starts(w.length * (now_in + ahead));
+  // Other holders have granted units of a window that began before this term; the clocks of proxies are
+  // skewed.
+  const Time starts(w.length * (current + ahead));
   double limit = w.limit;
-  if (starts < begun_ + kEdge)
+  if (starts < began_ + kWindowSkew)
     limit = first_
-                ? std::floor(w.limit * std::clamp(1 - seconds(begun_ - starts) / seconds(w.length), 0.0, 1.0))
+                ? std::floor(w.limit * std::clamp(1 - seconds(began_ - starts) / seconds(w.length), 0.0, 1.0))
                 : 0;
-  const double room = std::max(0.0, limit - used);
-  double most = room;
+  const double headroom = std::max(0.0, limit - used);
+  double max_units = headroom;
   if (!proxy.empty()) {
     auto& share = c.shares[proxy];
     c.demand += demand - share.demand;
-    share.demand = demand, share.at = now;
-    const double gone = seconds(now - Time(w.length * now_in)) / seconds(w.length);
-    if (c.demand > kPressed * w.limit && (ahead > 0 || gone < kSharedFor)) {
-      const double part = std::ceil(w.limit * std::max(demand, 1.0) / std::max(c.demand, 1.0));
-      most = std::clamp(part - share.granted[ahead], 0.0, room);
+    share.demand = demand, share.updated_at = now;
+    const double elapsed = seconds(now - Time(w.length * current)) / seconds(w.length);
+    if (c.demand > kContentionThreshold * w.limit && (ahead > 0 || elapsed < kSharedFraction)) {
+      const double fair_share = std::ceil(w.limit * std::max(demand, 1.0) / std::max(c.demand, 1.0));
+      max_units = std::clamp(fair_share - share.granted[ahead], 0.0, headroom);
     }
-    share.granted[ahead] += std::min<double>(units, std::floor(most + 1e-9));
+    share.granted[ahead] += std::min<double>(units, std::floor(max_units + 1e-9));
   }
-  g.units = static_cast<std::uint32_t>(std::min<double>(units, std::floor(most + 1e-9)));
+  g.units = static_cast<std::uint32_t>(std::min<double>(units, std::floor(max_units + 1e-9)));
   used += g.units;
-  g.remaining = static_cast<std::uint32_t>(std::max(0.0, std::floor(room - g.units + 1e-9)));
-  g.window = now_in + ahead;
+  g.remaining = static_cast<std::uint32_t>(std::max(0.0, std::floor(headroom - g.units + 1e-9)));
+  g.window = current + ahead;
   g.starts = Time(w.length * g.window) - now;
   g.ends = g.starts + w.length;
   if (g.remaining == 0) {
     g.exhausted_for = g.ends;
-  } else if (g.units < units) {  // its part is granted: what others leave can be had later
-    g.exhausted_for = std::max<Duration>(g.starts + snowknot::scaled(w.length, kSharedFor),
+  } else if (g.units < units) {  // its share is granted: what others leave is available later
+    g.exhausted_for = std::max<Duration>(g.starts + snowknot::scaled(w.length, kSharedFraction),
                                          std::chrono::milliseconds(1));
   }
   return g;
@@ -107,17 +107,17 @@
 
 void Counts::hand_back(Time now, const std::string& tenant, const Quota& quota, std::int64_t window,
                        std::uint32_t units) {
-  const auto w = window_of(quota, judged_);
+  const auto w = window_of(quota, tolerance_);
   if (w.length == Duration{}) return;
-  const std::int64_t now_in = now.time_since_epoch() / w.length;
-  if (window < now_in || window > now_in + kAhead) return;
-  auto& used = at(now, tenant, now_in).used[window - now_in];
+  const std::int64_t current = now.time_since_epoch() / w.length;
+  if (window < current || window > current + kWindowsAhead) return;
+  auto& used = count_at(now, tenant, current).used[window - current];
   used = std::max(0.0, used - units);
 }
 
 void Counts::sweep(Time now) {
   for (auto it = counts_.begin(); it != counts_.end();)
-    it = now - it->second.at > std::chrono::seconds(20) ? counts_.erase(it) : std::next(it);
+    it = now - it->second.updated_at > std::chrono::seconds(20) ? counts_.erase(it) : std::next(it);
 }
 
 }  // namespace docklift::counts
--- a/src/system/decisions/decisions.cpp
+++ b/src/system/decisions/decisions.cpp
@@ -6,27 +6,26 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr double kDefaultTargetMs = 1000;  // the aim of a route that names none
-constexpr double
-    kUnitsWait = 0.4;  // of the aim that a request waits for units: a round trip to another region
-constexpr double kPlaceWait = 0.2;  // of the aim that it waits for a place at a server; a refusal later than
-                                    // a quarter costs
-constexpr std::uint32_t kMisses = 4;  // servers that could not be connected to for one request
-constexpr Duration
-    kRevokeMargin = 700ms;  // of the time in which a removed key must end: what is under way must arrive
-constexpr double kLeastLeft = 0.12;  // of the aim that must be left for a further try to be worth a place
-constexpr double kLeastLeftInDrain = 0.5;  // of the aim, until this process gives up what is open
-constexpr Duration kOtherProxy = 10ms;  // until a client may come to another proxy, when this one is to end
+constexpr double kDefaultTargetMs = 1000;  // latency target of a route that names none
+// Fractions of the latency target. Waiting for units allows for a round trip to another region; a refusal
+// after more than a quarter of the target counts as late.
+constexpr double kUnitWaitFraction = 0.4;
+constexpr double kSlotWaitFraction = 0.2;
+constexpr double kMinRetryFraction = 0.12;        // left until the deadline, for a retry to be worth it
+constexpr double kMinDrainRetryFraction = 0.5;    // left until a drain aborts open requests
+constexpr std::uint32_t kMaxConnectFailures = 4;  // for one request
+constexpr Duration kRevokeMargin = 700ms;         // before a revoked key ends: time for requests in flight
+constexpr Duration kDrainRetryAfter = 10ms;       // a client may retry at another proxy
 
 }  // namespace
 
-Decisions::Decisions(Place self, std::map<std::string, std::string> regions_of_zones, const Bounds& bounds,
-                     std::uint64_t chance)
+Decisions::Decisions(ProxyIdentity self, std::map<std::string, std::string> regions_of_zones,
+                     const Bounds& bounds, std::uint64_t random_seed)
     : bounds_(bounds),
-      servers_(std::move(self), std::move(regions_of_zones), bounds, chance),
-      units_({bounds.quota_win_s, bounds.quota_excess, bounds.quota_slack}, chance),
-      repeats_(bounds),
-      rng_(chance ^ 0x9e3779b97f4a7c15ULL) {}
+      servers_(std::move(self), std::move(regions_of_zones), bounds, random_seed),
+      units_({bounds.quota_win_s, bounds.quota_excess, bounds.quota_slack}, random_seed),
+      retry_budget_(bounds),
+      rng_(random_seed ^ 0x9e3779b97f4a7c15ULL) {}
 
 void Decisions::configure(Time, std::shared_ptr<const configuration::Configuration> c) {
   configuration_ = std::move(c);
@@ -42,24 +41,24 @@
 void Decisions::set_evacuated(Time now, const std::vector<std::string>& zones,
                               const std::vector<std::string>& readmitted) {
   servers_.set_evacuated(zones);
-  if (!readmitted.empty()) servers_.readmitted(now, readmitted);
+  if (!readmitted.empty()) servers_.on_readmitted(now, readmitted);
 }
 
 void Decisions::set_proxies(const std::vector<std::string>& zone_and_id) {
   servers_.set_proxies(zone_and_id);
   units_.set_proxies(zone_and_id.size());
-  repeats_.set_proxies(zone_and_id.size());
+  retry_budget_.set_proxies(zone_and_id.size());
 }
 
 Actions Decisions::set_holder_reachable(Time now, bool reachable) {
-  units_.set_holder(reachable);
-  after_units(now);
-  return done();
+  units_.set_holder_reachable(reachable);
+  process_units(now);
+  return take_actions();
 }
 
 Actions Decisions::on_new_holder(Time now, std::uint64_t term) {
-  units_.new_holder(now, term);
-  return done();
+  units_.on_new_holder(now, term);
+  return take_actions();
 }
 
 void Decisions::set_confirmed(Time at) {
@@ -74,54 +73,54 @@
   return lagging_ && (!confirmed_at_ || now >= *confirmed_at_ + from_millis(bounds_.apply_ms));
 }
 
-// Until then no acknowledged change can have taken a key away for so long that its requests must not run.
+// Until then no acknowledged change can have revoked a key so long ago that its requests must not run.
 Time Decisions::keys_valid_until() const {
   if (!bounds_.strict_revoke || !configuration_ || !configuration_->has_tenants()) return Time::max();
   if (!confirmed_at_) return Time::min();
   return *confirmed_at_ + from_millis(bounds_.revoke_ms) - kRevokeMargin;
 }
 
-Duration Decisions::back_off(const Request& r) {
-  const double part = 0.1 + 0.2 * static_cast<double>(rng_() >> 11) * 0x1.0p-53;
-  return snowknot::scaled(std::max<Duration>(r.target, 200ms), part);
+Duration Decisions::retry_delay(const Request& r) {
+  const double fraction = 0.1 + 0.2 * static_cast<double>(rng_() >> 11) * 0x1.0p-53;
+  return snowknot::scaled(std::max<Duration>(r.target, 200ms), fraction);
 }
 
 void Decisions::refuse(RequestId id, RefusalReason reason, Duration retry_after) {
   refusals_.count(reason);
-  out_.push_back(Refuse{id, reason == RefusalReason::quota ? 429 : 503, retry_after});
+  actions_.push_back(Refuse{id, reason == RefusalReason::quota ? 429 : 503, retry_after});
   requests_.erase(id);
 }
 
-// By the weights of the route's parts.
+// Chooses at random by the weights of the route's split.
 const std::string& Decisions::choose_service(const configuration::Route& route) {
-  double lot = static_cast<double>(rng_() >> 11) * 0x1.0p-53 * route.weights;
+  double draw = static_cast<double>(rng_() >> 11) * 0x1.0p-53 * route.weights;
   const auto* chosen = &route.parts.back();
-  for (const auto& part : route.parts) {
-    if (part.weight <= 0) continue;
-    chosen = &part;
-    if ((lot -= part.weight) < 0) break;
+  for (const auto& split : route.parts) {
+    if (split.weight <= 0) continue;
+    chosen = &split;
+    if ((draw -= split.weight) < 0) break;
   }
   return configuration_->services[chosen->service].name;
 }
 
-Decisions::Request Decisions::request_of(Time now, const Arrival& arrival) {
+Decisions::Request Decisions::make_request(Time now, const Arrival& arrival) {
   const auto& route = *arrival.route;
   Request r;
   r.service = choose_service(route);
   r.repeatable = route.kind != configuration::Kind::mutating;
   r.target = from_millis(route.target_ms > 0 ? route.target_ms : kDefaultTargetMs);
   r.arrived = now;
-  Duration held = arrival.time_left;
-  if (route.timeout_ms > 0) held = std::min(held, from_millis(route.timeout_ms));
-  r.deadline = now + held;
-  r.tries = route.tries;
-  r.place_until = now + snowknot::scaled(std::min(r.target, held), kPlaceWait);
+  Duration time_left = arrival.time_left;
+  if (route.timeout_ms > 0) time_left = std::min(time_left, from_millis(route.timeout_ms));
+  r.deadline = now + time_left;
+  r.max_attempts = route.tries;
+  r.queue_until = now + snowknot::scaled(std::min(r.target, time_left), kSlotWaitFraction);
   r.regions = route.regions;
   return r;
 }
 
-// Where route and tenant both have homes, both bind. False: no region is a home of both.
-bool Decisions::bind_to_homes(Request& r, const configuration::Tenant* tenant) {
+// If route and tenant are both pinned to regions, only the regions of both remain. False: there is none.
+bool Decisions::restrict_regions(Request& r, const configuration::Tenant* tenant) {
   if (!tenant || tenant->regions.empty()) return true;
   if (r.regions.empty()) {
     r.regions = tenant->regions;
@@ -135,272 +134,273 @@
 
 Actions Decisions::on_request(Time now, const Arrival& arrival) {
   const auto id = arrival.request;
-  Request arrived = request_of(now, arrival);
-  const bool has_home = bind_to_homes(arrived, arrival.tenant);
-  // Keys that were taken away must end here too, also where this proxy is cut off from the core.
+  Request arrived = make_request(now, arrival);
+  const bool has_region = restrict_regions(arrived, arrival.tenant);
+  // Revoked keys must end here too, even if this proxy is partitioned from the core.
   if (now >= keys_valid_until() || is_outdated(now)) {
-    refuse(id, RefusalReason::outdated, back_off(arrived));
-    return done();
+    refuse(id, RefusalReason::outdated, retry_delay(arrived));
+    return take_actions();
   }
-  if (!has_home) {
-    refuse(id, RefusalReason::no_server, back_off(arrived));
-    return done();
+  if (!has_region) {
+    refuse(id, RefusalReason::no_server, retry_delay(arrived));
+    return take_actions();
   }
   if (drain_ && !drain_->may_begin(now, arrived.deadline)) {
-    refuse(id, RefusalReason::draining, kOtherProxy);
-    return done();
+    refuse(id, RefusalReason::draining, kDrainRetryAfter);
+    return take_actions();
   }
-  repeats_.request(arrived.service);
-  auto& kept = requests_.insert_or_assign(id, std::move(arrived)).first.value();
+  retry_budget_.on_request(arrived.service);
+  auto& request = requests_.insert_or_assign(id, std::move(arrived)).first.value();
   if (arrival.tenant) {
-    kept.tenant = arrival.tenant->name;
-    take_unit(now, id, kept);
-    after_units(now);
+    request.tenant = arrival.tenant->name;
+    acquire_unit(now, id, request);
+    process_units(now);
   } else {
-    send_on(now, id, kept);
+    dispatch(now, id, request);
   }
-  return done();
+  return take_actions();
 }
 
-void Decisions::take_unit(Time now, RequestId id, Request& r) {
+void Decisions::acquire_unit(Time now, RequestId id, Request& r) {
   Duration retry_after{};
-  bool holder_lost = false;
-  const auto wait = snowknot::scaled(std::min(r.target, r.deadline - now), kUnitsWait);
-  switch (units_.take(now, r.tenant, id, wait, retry_after, holder_lost)) {
-    case Units::Take::passed:
-      r.unit_taken = now;
-      send_on(now, id, r);
+  bool holder_unreachable = false;
+  const auto wait = snowknot::scaled(std::min(r.target, r.deadline - now), kUnitWaitFraction);
+  switch (units_.acquire(now, r.tenant, id, wait, retry_after, holder_unreachable)) {
+    case Units::Admission::admitted:
+      r.unit_acquired_at = now;
+      dispatch(now, id, r);
       break;
-    case Units::Take::waits: break;
-    case Units::Take::refused:
-      refuse(id, holder_lost ? RefusalReason::no_units : RefusalReason::quota, retry_after);
+    case Units::Admission::queued: break;
+    case Units::Admission::rejected:
+      refuse(id, holder_unreachable ? RefusalReason::no_units : RefusalReason::quota, retry_after);
       break;
   }
 }
 
-void Decisions::give_unit_back(Time now, const Request& r) {
-  if (!r.tenant.empty()) units_.give_back(now, r.tenant, r.unit_taken);
+void Decisions::release_unit(Time now, const Request& r) {
+  if (!r.tenant.empty()) units_.release(now, r.tenant, r.unit_acquired_at);
 }
 
-void Decisions::send_on(Time now, RequestId id, Request& r) {
+void Decisions::dispatch(Time now, RequestId id, Request& r) {
   if (now >= keys_valid_until()) {
-    give_unit_back(now, r);
-    return refuse(id, RefusalReason::outdated, back_off(r));
+    release_unit(now, r);
+    return refuse(id, RefusalReason::outdated, retry_delay(r));
   }
   ServerHandle server = kNoServer;
   switch (servers_.choose(now, r.service, r.regions, r.tried, server)) {
     case Servers::Pick::server: return send(now, id, r, server);
     case Servers::Pick::none: {
-      give_unit_back(now, r);
-      return refuse(id, RefusalReason::no_server, back_off(r));
+      release_unit(now, r);
+      return refuse(id, RefusalReason::no_server, retry_delay(r));
     }
     case Servers::Pick::full: break;
   }
-  if (now >= r.place_until) {
-    give_unit_back(now, r);
-    return refuse(id, RefusalReason::no_place, back_off(r));
+  if (now >= r.queue_until) {
+    release_unit(now, r);
+    return refuse(id, RefusalReason::no_slot, retry_delay(r));
   }
-  if (!std::exchange(r.parked, true)) parked_.push_back(id);
+  if (!std::exchange(r.queued, true)) queued_.push_back(id);
 }
 
 void Decisions::send(Time now, RequestId id, Request& r, ServerHandle server) {
-  if (r.client_left) ++departures_.sent_after;
-  servers_.sent(now, server);
-  ++r.sends;
-  r.at = server;
+  if (r.client_left_at) ++departures_.sent_after;
+  servers_.on_sent(now, server);
+  ++r.attempts;
+  r.server = server;
   r.tried.push_back(server);
-  out_.push_back(Send{id, server, std::max<Duration>(r.deadline - now, 1ms), keys_valid_until()});
+  actions_.push_back(Send{id, server, std::max<Duration>(r.deadline - now, 1ms), keys_valid_until()});
 }
 
 Actions Decisions::on_attempt_ended(Time now, RequestId id, Outcome outcome, Duration took, bool whole) {
   const auto found = requests_.find(id);
-  if (found == requests_.end()) return done();
+  if (found == requests_.end()) return take_actions();
   auto& r = found.value();
-  servers_.ended(now, r.at, outcome, took);
-  r.at = kNoServer;
-  if (r.client_left) {
-    note_end_after_departure(now, r, outcome);
-    if (proves_not_run(outcome) && !r.may_have_run) give_unit_back(now, r);
+  servers_.on_attempt_ended(now, r.server, outcome, took);
+  r.server = kNoServer;
+  if (r.client_left_at) {
+    count_attempt_end_after_departure(now, r, outcome);
+    if (proves_not_run(outcome) && !r.may_have_run) release_unit(now, r);
     drop(id);
-  } else if (r.given_up) {
-    end_given_up(now, id, r, outcome);
+  } else if (r.aborted) {
+    finish_aborted(now, id, r, outcome);
   } else if (outcome == Outcome::ok) {
     relay(id);
   } else {
-    end_failed_try(now, id, r, outcome, whole);
+    on_attempt_failed(now, id, r, outcome, whole);
   }
-  serve_parked(now);
-  after_units(now);
-  return done();
+  dispatch_queued(now);
+  process_units(now);
+  return take_actions();
 }
 
 void Decisions::relay(RequestId id) {
-  out_.push_back(Relay{id});
+  actions_.push_back(Relay{id});
   requests_.erase(id);
 }
 
 void Decisions::fail(RequestId id, int status) {
-  out_.push_back(Fail{id, status});
+  actions_.push_back(Fail{id, status});
   requests_.erase(id);
 }
 
-void Decisions::end_failed_try(Time now, RequestId id, Request& r, Outcome outcome, bool whole) {
-  if (outcome == Outcome::connect_failed) --r.sends, ++r.misses;
+void Decisions::on_attempt_failed(Time now, RequestId id, Request& r, Outcome outcome, bool whole) {
+  if (outcome == Outcome::connect_failed) --r.attempts, ++r.connect_failures;
   if (!proves_not_run(outcome)) r.may_have_run = true;
-  if (const auto server = server_for_further_try(now, r)) return send(now, id, r, *server);
+  if (const auto server = choose_retry_server(now, r)) return send(now, id, r, *server);
   if (!r.may_have_run) {
-    give_unit_back(now, r);
-    return refuse(id, RefusalReason::not_run, back_off(r));
+    release_unit(now, r);
+    return refuse(id, RefusalReason::not_run, retry_delay(r));
   }
   if (whole && outcome == Outcome::error) return relay(id);
   fail(id, outcome == Outcome::timeout ? 504 : 502);
 }
 
-std::optional<ServerHandle> Decisions::server_for_further_try(Time now, const Request& r) {
-  if (!may_try_again(now, r)) return std::nullopt;
+std::optional<ServerHandle> Decisions::choose_retry_server(Time now, const Request& r) {
+  if (!has_time_to_retry(now, r)) return std::nullopt;
   if (r.may_have_run && !r.repeatable) return std::nullopt;
-  if (r.sends >= r.tries || r.misses >= kMisses) return std::nullopt;
+  if (r.attempts >= r.max_attempts || r.connect_failures >= kMaxConnectFailures) return std::nullopt;
   ServerHandle server = kNoServer;
   if (servers_.choose(now, r.service, r.regions, r.tried, server) != Servers::Pick::server)
     return std::nullopt;
-  // A try that reached no server has arrived nowhere, and needs none of the budget.
-  if (r.sends > 0 && !repeats_.take(r.service)) return std::nullopt;
+  // A retry after attempts that reached no server costs none of the budget.
+  if (r.attempts > 0 && !retry_budget_.take(r.service)) return std::nullopt;
   return server;
 }
 
-// Whether there is time for a further try.
-bool Decisions::may_try_again(Time now, const Request& r) const {
+// Whether enough time is left for a retry.
+bool Decisions::has_time_to_retry(Time now, const Request& r) const {
   if (now >= keys_valid_until()) return false;
-  if (drain_ && now + snowknot::scaled(r.target, kLeastLeftInDrain) >= drain_->abort_at) return false;
-  return now + snowknot::scaled(r.target, kLeastLeft) < r.deadline;
+  if (drain_ && now + snowknot::scaled(r.target, kMinDrainRetryFraction) >= drain_->abort_at) return false;
+  return now + snowknot::scaled(r.target, kMinRetryFraction) < r.deadline;
 }
 
 Actions Decisions::abort_open_requests(Time now) {
   std::vector<RequestId> all;
   all.reserve(requests_.size());
   for (const auto& [id, r] : requests_) all.push_back(id);
-  for (const auto id : all) give_up(now, id);
-  return done();
+  for (const auto id : all) abort_request(now, id);
+  return take_actions();
 }
 
-void Decisions::give_up(Time now, RequestId id) {
+void Decisions::abort_request(Time now, RequestId id) {
   auto& r = requests_.find(id).value();
-  r.given_up = true;
-  if (r.at != kNoServer) {
-    out_.push_back(Cancel{id, false});
+  r.aborted = true;
+  if (r.server != kNoServer) {
+    actions_.push_back(Cancel{id, false});
     return;
   }
-  if (r.parked) {
-    give_unit_back(now, r);
+  if (r.queued) {
+    release_unit(now, r);
   } else {
-    units_.forget(r.tenant, id);
+    units_.cancel_waiting(r.tenant, id);
   }
-  refuse(id, RefusalReason::draining, kOtherProxy);
+  refuse(id, RefusalReason::draining, kDrainRetryAfter);
 }
 
-void Decisions::end_given_up(Time now, RequestId id, Request& r, Outcome outcome) {
+void Decisions::finish_aborted(Time now, RequestId id, Request& r, Outcome outcome) {
   if (!proves_not_run(outcome) || r.may_have_run) return fail(id, 504);
-  give_unit_back(now, r);
-  refuse(id, RefusalReason::draining, kOtherProxy);
+  release_unit(now, r);
+  refuse(id, RefusalReason::draining, kDrainRetryAfter);
 }
 
-void Decisions::note_departure(Time now, Request& r) {
-  r.client_left = now;
+void Decisions::count_departure(Time now, Request& r) {
+  r.client_left_at = now;
   if (!r.repeatable) ++departures_.not_repeatable;
-  if (r.at != kNoServer) {
+  if (r.server != kNoServer) {
     ++departures_.at_server;
   } else {
-    ++(r.parked ? departures_.waited_for_place : departures_.waited_for_units);
+    ++(r.queued ? departures_.waited_for_slot : departures_.waited_for_units);
   }
 }
 
-void Decisions::note_end_after_departure(Time now, const Request& r, Outcome outcome) {
+void Decisions::count_attempt_end_after_departure(Time now, const Request& r, Outcome outcome) {
   if (outcome == Outcome::cancelled) ++departures_.cancelled;
   if (outcome == Outcome::cancelled_unsent) ++departures_.cancelled_unsent;
-  if (now - *r.client_left <= kWentOnAfter) return;
-  ++(r.repeatable ? departures_.went_on_repeatable : departures_.went_on_not_repeatable);
+  if (now - *r.client_left_at <= kContinuedAfter) return;
+  ++(r.repeatable ? departures_.continued_repeatable : departures_.continued_not_repeatable);
 }
 
 Actions Decisions::on_client_left(Time now, RequestId id) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || found->second.client_left) return done();
+  if (found == requests_.end() || found->second.client_left_at) return take_actions();
   auto& r = found.value();
-  note_departure(now, r);
-  if (r.at != kNoServer) {
-    out_.push_back(Cancel{id, !r.repeatable});
-    return done();
+  count_departure(now, r);
+  if (r.server != kNoServer) {
+    actions_.push_back(Cancel{id, !r.repeatable});
+    return take_actions();
   }
-  if (r.parked) {
-    give_unit_back(now, r);
+  if (r.queued) {
+    release_unit(now, r);
   } else {
-    units_.forget(r.tenant, id);
+    units_.cancel_waiting(r.tenant, id);
   }
   drop(id);
-  after_units(now);
-  return done();
+  process_units(now);
+  return take_actions();
 }
 
 OpenRequests Decisions::open_requests(Time now) const {
   OpenRequests open;
   for (const auto& [id, r] : requests_) {
     open.longest_left = std::max(open.longest_left, r.deadline - now);
-    if (r.at != kNoServer) {
+    if (r.server != kNoServer) {
       ++open.at_server;
     } else {
-      ++(r.parked ? open.wait_for_place : open.wait_for_units);
+      ++(r.queued ? open.waiting_for_slot : open.waiting_for_units);
     }
   }
   return open;
 }
 
 void Decisions::drop(RequestId id) {
-  out_.push_back(Drop{id});
+  actions_.push_back(Drop{id});
   requests_.erase(id);
 }
 
-void Decisions::serve_parked(Time now) {
-  if (parked_.empty()) return;
-  const auto waiting = std::exchange(parked_, {});
+void Decisions::dispatch_queued(Time now) {
+  if (queued_.empty()) return;
+  const auto waiting = std::exchange(queued_, {});
   for (const auto id : waiting) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) continue;
     auto& r = found.value();
-    r.parked = false;
-    send_on(now, id, r);
+    r.queued = false;
+    dispatch(now, id, r);
   }
 }
 
-// What the lease book has settled: who passes goes on, who is turned away is refused, what is to be asked is
-// asked.
-void Decisions::after_units(Time now) {
-  auto orders = units_.orders(now);
-  for (const auto id : units_.passed())
+// Carries out what the unit leases decided: admitted requests go on, rejected ones are refused, and missing
+// units are requested.
+void Decisions::process_units(Time now) {
+  auto unit_requests = units_.take_requests(now);
+  for (const auto id : units_.take_admitted())
     if (const auto found = requests_.find(id); found != requests_.end()) {
-      found.value().unit_taken = now;
-      send_on(now, id, found.value());
+      found.value().unit_acquired_at = now;
+      dispatch(now, id, found.value());
     }
-  for (const auto& t : units_.turned(now))
-    if (requests_.contains(t.request))
-      refuse(t.request, t.holder_lost ? RefusalReason::no_units : RefusalReason::quota, t.retry_after);
-  if (!orders.empty()) out_.push_back(RequestUnits{std::move(orders)});
+  for (const auto& rejected : units_.take_rejected(now))
+    if (requests_.contains(rejected.request))
+      refuse(rejected.request, rejected.holder_unreachable ? RefusalReason::no_units : RefusalReason::quota,
+             rejected.retry_after);
+  if (!unit_requests.empty()) actions_.push_back(RequestUnits{std::move(unit_requests)});
 }
 
 Actions Decisions::on_grants(Time now, const UnitResponse& answer) {
-  units_.granted(now, answer);
-  after_units(now);
-  return done();
+  units_.on_grants(now, answer);
+  process_units(now);
+  return take_actions();
 }
 
 Actions Decisions::on_grants_failed(Time now) {
-  units_.call_failed();
-  after_units(now);
-  return done();
+  units_.on_call_failed();
+  process_units(now);
+  return take_actions();
 }
 
 Actions Decisions::tick(Time now) {
-  serve_parked(now);
-  after_units(now);
-  return done();
+  dispatch_queued(now);
+  process_units(now);
+  return take_actions();
 }
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/decisions.hpp
+++ b/src/system/decisions/decisions.hpp
@@ -1,7 +1,7 @@
-// Every decision of a proxy: which server a request goes to, whether it is sent again, what is refused.
-// Fronts carry bytes. Pure: events with their time go in, actions come out; the same seed and events give the
-// same actions. An arrived request gets exactly one final action (Refuse, Fail, Relay or Drop); each Send is
-// followed by one ended().
+// The request-routing decisions of a proxy: which server a request goes to, whether it is retried, and what
+// is refused. The proxy itself only moves bytes. No I/O and no clock: events come in with their time, actions
+// come out, and the same seed and events give the same actions. Each request that arrives gets exactly one
+// final action (Refuse, Fail, Relay or Drop); each Send is followed by one on_attempt_ended().
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -23,106 +23,116 @@
 
 namespace docklift::decisions {
 
+// A request as read from a client.
 struct Arrival {
   RequestId request{};
   const configuration::Route* route = nullptr;    // used during the call only
   const configuration::Tenant* tenant = nullptr;  // null: none
-  Duration time_left{};                           // until the client gives up
+  Duration time_left{};                           // until the client times out
 };
 
-struct Send {  // to a server; `first`: nothing was sent for it before
+// Send the request to a server.
+struct Send {
   RequestId request{};
   ServerHandle server = kNoServer;
   Duration timeout{};
-  Time valid_until = Time::max();  // not to be written later: its key may have been taken away
+  Time valid_until = Time::max();  // must not be written later: its API key may have been revoked
 };
-struct Refuse {  // it has not run and never will
+// Answer with an error; the request has not run and never will.
+struct Refuse {
   RequestId request{};
   int status = 503;
   Duration retry_after{};
 };
-struct Fail {  // no promise about what ran
+// Answer with an error; the request may have run.
+struct Fail {
   RequestId request{};
   int status = 502;
 };
-struct Relay {  // the last answer of a server, as it is
+// Forward the last response of a server unchanged.
+struct Relay {
   RequestId request{};
 };
-struct Drop {  // its client has left: there is nobody to answer
+// Forget the request: its client has disconnected.
+struct Drop {
   RequestId request{};
 };
-// The attempt that is out is to be ended, `unsent_only`: if not a byte of it was written. ended() follows at once
-// where it was, with an outcome that says whether it had been sent.
+// Cancel the attempt in flight, with `unsent_only` only if not a byte of it was written. If it was cancelled,
+// on_attempt_ended() follows at once, with an outcome that says whether it had been sent.
 struct Cancel {
   RequestId request{};
   bool unsent_only = false;
 };
-struct RequestUnits {  // units, of the holder of the counts
+// Ask the holder of the counts for quota units.
+struct RequestUnits {
   std::vector<UnitRequest> requests;
 };
 using Action = std::variant<Send, Refuse, Fail, Relay, Drop, Cancel, RequestUnits>;
 using Actions = std::vector<Action>;
 
-namespace flow {  // complete before the tables of them
+namespace detail {  // robin_map needs complete types
 struct Request {
   std::string service, tenant;
   std::vector<std::string> regions;
   bool repeatable = false, may_have_run = false;
   Duration target{};
-  Time arrived{}, deadline{}, place_until{}, unit_taken{};
-  std::optional<Time> client_left;  // since when there is nobody to answer
-  std::uint32_t tries = 1, sends = 0, misses = 0;
-  bool parked = false, given_up = false;
+  Time arrived{}, deadline{}, queue_until{}, unit_acquired_at{};
+  std::optional<Time> client_left_at;
+  std::uint32_t max_attempts = 1, attempts = 0, connect_failures = 0;
+  bool queued = false, aborted = false;  // queued: for a slot at a server
   std::vector<ServerHandle> tried;
-  ServerHandle at = kNoServer;
+  ServerHandle server = kNoServer;  // that the attempt in flight was sent to
 };
-}  // namespace flow
+}  // namespace detail
 
+// The state of all requests of one proxy, and of what is known about servers and quota units.
 class Decisions {
  public:
-  Decisions(Place self, std::map<std::string, std::string> regions_of_zones, const Bounds& bounds,
-            std::uint64_t chance);
+  Decisions(ProxyIdentity self, std::map<std::string, std::string> regions_of_zones, const Bounds& bounds,
+            std::uint64_t random_seed);
 
-  // ---- news
+  // ---- updates from the registries
   void configure(Time now, std::shared_ptr<const configuration::Configuration> c);
   void set_evacuated(Time now, const std::vector<std::string>& zones,
                      const std::vector<std::string>& readmitted);
-  void update_servers(Time now, const std::vector<fleet::Server>& changed) { servers_.news(now, changed); }
+  void update_servers(Time now, const std::vector<fleet::Server>& changed) { servers_.update(now, changed); }
   void set_proxies(const std::vector<std::string>& zone_and_id);
   Actions set_holder_reachable(Time now, bool reachable);
   Actions on_new_holder(Time now, std::uint64_t term);
-  // As of `at`, a majority of the core knew of no configuration that is not here.
+  // As of `at`, a majority of the core knew of no newer configuration than the local one.
   void set_confirmed(Time at);
-  // Whether the configuration here is known to lack a change that was agreed.
+  // Whether the local configuration is known to lack a committed change.
   void set_lagging(bool lagging) { lagging_ = lagging; }
 
-  // ---- the end of this process
-  // From here on, requests are begun only as the schedule allows, and sent again only where they can still end.
+  // ---- shutdown
+  // From now on, requests are begun only as the schedule allows, and retried only if they can still finish.
   void begin_drain(const DrainSchedule& schedule) { drain_ = schedule; }
-  // All that is open gets its end: refused where no server has it, else its attempt is cancelled and it fails.
+  // Ends all open requests: those at no server are refused, the others have their attempt cancelled and fail.
   Actions abort_open_requests(Time now);
 
   // ---- requests
-  // One was turned away because there is no configuration here yet: counted only.
+  // Counts a request that was rejected because no configuration has been received yet.
   void count_refusal_without_configuration() { refusals_.count(RefusalReason::no_configuration); }
   Actions on_request(Time now, const Arrival& arrival);
-  // `whole`: an answer of the server is at hand that can be relayed.
+  // `whole`: a complete response of the server is available and can be relayed.
   Actions on_attempt_ended(Time now, RequestId id, Outcome outcome, Duration took, bool whole);
-  // The client has closed its connection, or it was closed on it: nobody waits for the answer any more. What may run
-  // again ends wherever it is; what may not is still sent to nobody, and ends where a server is at work on it.
+  // The client's connection was closed, by the client or by the proxy; nobody waits for the response.
+  // Repeatable requests end wherever they are. Others are not sent any more, but finish if a server already
+  // works on them.
   Actions on_client_left(Time now, RequestId id);
   Actions on_grants(Time now, const UnitResponse& answer);
   Actions on_grants_failed(Time now);
-  Actions tick(Time now);  // at least each 20 ms while something is open
+  Actions tick(Time now);  // at least every 20 ms while requests are open
 
-  // Whether "not allowed" may be told by the configuration here: only where it was the newest `apply_ms` ago at most.
-  // A change that was acknowledged before allows what is asked for, perhaps.
+  // Whether a request may be rejected as not allowed by the local configuration: only if that was confirmed
+  // as the newest within the last `apply_ms`. Otherwise an acknowledged change may allow the request.
   bool may_deny(Time now) const;
-  // The configuration here lacks a change that may have been acknowledged `apply_ms` ago: nothing is to be handled by
-  // it. One that only could not be confirmed, as the core is out of reach, is used on.
+  // Whether the local configuration lacks a change that may have been acknowledged `apply_ms` ago; no request
+  // may be handled by it then. One that merely could not be confirmed, as the core is unreachable, remains in
+  // use.
   bool is_outdated(Time now) const;
 
-  const Servers::Known* find_server(ServerHandle server) const { return servers_.find(server); }
+  const Servers::Info* find_server(ServerHandle server) const { return servers_.find(server); }
   std::vector<ServerHandle> take_released_servers() { return servers_.take_released(); }
   std::size_t open_count() const { return requests_.size(); }
   OpenRequests open_requests(Time now) const;
@@ -130,45 +140,45 @@
   const RefusalCounts& refusals() const { return refusals_; }
 
  private:
-  using Request = flow::Request;
+  using Request = detail::Request;
   const std::string& choose_service(const configuration::Route& route);
-  Request request_of(Time now, const Arrival& arrival);
-  static bool bind_to_homes(Request& r, const configuration::Tenant* tenant);
-  void take_unit(Time now, RequestId id, Request& r);
+  Request make_request(Time now, const Arrival& arrival);
+  static bool restrict_regions(Request& r, const configuration::Tenant* tenant);
+  void acquire_unit(Time now, RequestId id, Request& r);
   void relay(RequestId id);
   void fail(RequestId id, int status);
-  void end_failed_try(Time now, RequestId id, Request& r, Outcome outcome, bool whole);
-  std::optional<ServerHandle> server_for_further_try(Time now, const Request& r);
-  void send_on(Time now, RequestId id, Request& r);
+  void on_attempt_failed(Time now, RequestId id, Request& r, Outcome outcome, bool whole);
+  std::optional<ServerHandle> choose_retry_server(Time now, const Request& r);
+  void dispatch(Time now, RequestId id, Request& r);
   void send(Time now, RequestId id, Request& r, ServerHandle server);
   void refuse(RequestId id, RefusalReason reason, Duration retry_after);
-  void note_departure(Time now, Request& r);
-  void note_end_after_departure(Time now, const Request& r, Outcome outcome);
-  void give_unit_back(Time now, const Request& r);
+  void count_departure(Time now, Request& r);
+  void count_attempt_end_after_departure(Time now, const Request& r, Outcome outcome);
+  void release_unit(Time now, const Request& r);
   void drop(RequestId id);
-  void give_up(Time now, RequestId id);
-  void end_given_up(Time now, RequestId id, Request& r, Outcome outcome);
-  bool may_try_again(Time now, const Request& r) const;
-  void after_units(Time now);
-  void serve_parked(Time now);
+  void abort_request(Time now, RequestId id);
+  void finish_aborted(Time now, RequestId id, Request& r, Outcome outcome);
+  bool has_time_to_retry(Time now, const Request& r) const;
+  void process_units(Time now);
+  void dispatch_queued(Time now);
   Time keys_valid_until() const;
-  Duration back_off(const Request& r);
-  Actions done() { return std::exchange(out_, {}); }
+  Duration retry_delay(const Request& r);
+  Actions take_actions() { return std::exchange(actions_, {}); }
 
   Bounds bounds_;
   std::shared_ptr<const configuration::Configuration> configuration_;
   Servers servers_;
   Units units_;
-  Repeats repeats_;
+  RetryBudget retry_budget_;
   std::mt19937_64 rng_;
   tsl::robin_map<RequestId, Request> requests_;
-  std::vector<RequestId> parked_;
+  std::vector<RequestId> queued_;  // for a slot at a server
   std::optional<Time> confirmed_at_;
   std::optional<DrainSchedule> drain_;
   bool lagging_ = false;
   DepartureCounts departures_;
   RefusalCounts refusals_;
-  Actions out_;
+  Actions actions_;
 };
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/open_requests.cpp
+++ b/src/system/decisions/open_requests.cpp
@@ -4,7 +4,7 @@
 
 std::string to_string(const OpenRequests& open) {
   const auto number = [](std::uint64_t n) { return std::to_string(n); };
-  return "requests: " + number(open.wait_for_units) + " wait for units, " + number(open.wait_for_place) +
+  return "requests: " + number(open.waiting_for_units) + " wait for units, " + number(open.waiting_for_slot) +
          " for a place, " + number(open.at_server) + " are at a server, the last ends in " +
          number(millis(open.longest_left)) + " ms at most";
 }
--- a/src/system/decisions/open_requests.hpp
+++ b/src/system/decisions/open_requests.hpp
@@ -1,4 +1,4 @@
-// What is under way at a proxy at one moment, for the log. Pure.
+// A snapshot, for the log, of the requests that are open at a proxy.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace docklift::decisions {
 
-// Requests by where they stand.
+// Open requests by what they wait for.
 struct OpenRequests {
-  std::uint64_t wait_for_units = 0, wait_for_place = 0, at_server = 0;
-  Duration longest_left{};  // until the last of their deadlines
+  std::uint64_t waiting_for_units = 0, waiting_for_slot = 0, at_server = 0;
+  Duration longest_left{};  // until the latest of their deadlines
 };
 
-// A part of a sentence for the log.
+// Part of a line for the log.
 std::string to_string(const OpenRequests& open);
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/refusals.cpp
+++ b/src/system/decisions/refusals.cpp
@@ -3,14 +3,14 @@
 namespace docklift::decisions {
 
 std::string to_string(const RefusalCounts& counts) {
-  const auto part = [&](const char* name, RefusalReason reason) {
+  const auto counted = [&](const char* name, RefusalReason reason) {
     return std::string(name) + " " + std::to_string(counts.of(reason));
   };
-  return "refused: " + part("no configuration", RefusalReason::no_configuration) +
-         part(", outdated", RefusalReason::outdated) + part(", draining", RefusalReason::draining) +
-         part(", no server", RefusalReason::no_server) + part(", no place", RefusalReason::no_place) +
-         part(", not run", RefusalReason::not_run) + part(", no units in time", RefusalReason::no_units) +
-         part(", quota", RefusalReason::quota);
+  return "refused: " + counted("no configuration", RefusalReason::no_configuration) +
+         counted(", outdated", RefusalReason::outdated) + counted(", draining", RefusalReason::draining) +
+         counted(", no server", RefusalReason::no_server) + counted(", no place", RefusalReason::no_slot) +
+         counted(", not run", RefusalReason::not_run) +
+         counted(", no units in time", RefusalReason::no_units) + counted(", quota", RefusalReason::quota);
 }
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/refusals.hpp
+++ b/src/system/decisions/refusals.hpp
@@ -1,4 +1,4 @@
-// Requests that a proxy has turned away, by reason: counted for the log. Pure.
+// Counters, for the log, of requests that a proxy refused, by reason.
 #pragma once
 
 #include <array>
@@ -8,17 +8,18 @@
 namespace docklift::decisions {
 
 enum class RefusalReason : std::uint8_t {
-  no_configuration,  // none here
-  outdated,          // the one here, or its keys, may have ended
+  no_configuration,  // none received yet
+  outdated,          // the local configuration, or its API keys, may no longer be valid
   draining,          // this process ends before the request may
-  no_server,         // none that may take it
-  no_place,          // all servers were full for too long
-  not_run,           // no try has run, and there is none left
-  no_units,          // none came in time, or nobody could be asked for any
+  no_server,         // none is eligible
+  no_slot,           // all servers were full for too long
+  not_run,           // no attempt has run, and none is left
+  no_units,          // none arrived in time, or the holder of the counts is unreachable
   quota,             // 429
   count_of_reasons,
 };
 
+// Counts since the start of the process.
 class RefusalCounts {
  public:
   void count(RefusalReason reason) { ++counts_[static_cast<std::size_t>(reason)]; }
@@ -29,7 +30,7 @@
   std::array<std::uint64_t, static_cast<std::size_t>(RefusalReason::count_of_reasons)> counts_{};
 };
 
-// A sentence for the log.
+// One line for the log.
 std::string to_string(const RefusalCounts& counts);
 
 }  // namespace docklift::decisions
--- a/src/system/decisions/repeats.hpp
+++ b/src/system/decisions/repeats.hpp
@@ -1,5 +1,5 @@
-// The budget of further tries at servers: each service's arrivals beyond the first of each request stay below
-// a part of its requests, over all proxies. Each proxy keeps to its part. Pure.
+// The retry budget: over all proxies, the attempts of each service beyond the first of each request stay
+// below a fraction of its requests. Each proxy enforces its share.
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -11,16 +11,18 @@
 
 namespace docklift::decisions {
 
-class Repeats {
+// A token bucket per service that requests fill and retries drain.
+class RetryBudget {
  public:
-  explicit Repeats(const Bounds& bounds) : ratio_(bounds.retry_ratio), extra_(bounds.retry_extra) {}
+  explicit RetryBudget(const Bounds& bounds) : ratio_(bounds.retry_ratio), extra_(bounds.retry_extra) {}
   void set_proxies(std::size_t n) { proxies_ = static_cast<double>(std::max<std::size_t>(1, n)); }
 
-  void request(const std::string& service) {
+  // Adds the tokens that a new request earns.
+  void on_request(const std::string& service) {
     auto& t = tokens(service);
-    t = std::min(most(), t + kPart * ratio_);
+    t = std::min(capacity(), t + kRatioFraction * ratio_);
   }
-  // Takes one further try, if there is one.
+  // Takes the token for one retry, if there is one.
   bool take(const std::string& service) {
     auto& t = tokens(service);
     if (t < 1) return false;
@@ -29,11 +31,12 @@
   }
 
  private:
-  static constexpr double kPart = 0.6;   // of the ratio that is earned: some repeats are not seen here
-  static constexpr double kExtra = 0.5;  // of the extra that all proxies together may have saved up
-  double most() const { return std::max(1.0, kExtra * extra_ / proxies_); }
+  static constexpr double kRatioFraction = 0.6;  // of the ratio; some retries are not seen by this proxy
+  static constexpr double
+      kExtraFraction = 0.5;  // of the extra retries, that all proxies together may save up
+  double capacity() const { return std::max(1.0, kExtraFraction * extra_ / proxies_); }
   double& tokens(const std::string& service) {
-    return tokens_.try_emplace(service, most() / 2).first.value();
+    return tokens_.try_emplace(service, capacity() / 2).first.value();
   }
 
   double ratio_, extra_, proxies_ = 1;
--- a/tests/system/decisions_world.hpp
+++ b/tests/system/decisions_world.hpp
@@ -1,4 +1,5 @@
-// One proxy's decision module with a configuration of one route, and shorthands for its events.
+// Test fixture: the decision module of one proxy, with a configuration of one route, and shorthands for its
+// events.
 #pragma once
 
 #include <boost/test/unit_test.hpp>
@@ -14,8 +15,9 @@
 
 inline const std::map<std::string, std::string> kZones = {{"a1", "a"}, {"a2", "a"}, {"b1", "b"}};
 
+// What varies between the tests.
 struct Setup {
-  std::string kind = "idempotent", homes = "[]", tenant_homes = "[]";
+  std::string kind = "idempotent", regions = "[]", tenant_regions = "[]";
   int tries = 2;
   double cold_per_s = 10, per_s = 0;
   bool strict = false;
@@ -23,10 +25,10 @@
 
 inline std::shared_ptr<const Configuration> configured(const Setup& s) {
   const auto text = R"({"gen":"00000001","accts":[{"name":"t","apikeys":["k"],"per_s":)" +
-                    std::to_string(s.per_s) + R"(,"burst":10,"pin_regions":)" + s.tenant_homes +
+                    std::to_string(s.per_s) + R"(,"burst":10,"pin_regions":)" + s.tenant_regions +
                     R"(}],"listeners":[{"vhost":"h","policy":[{"name":"r","kind":")" + s.kind +
                     R"(","target_ms":500,"match":{"pfx":"/a/"},"action":{"svc":"s","tmo_ms":2000,"tries":)" +
-                    std::to_string(s.tries) + R"(,"pin_regions":)" + s.homes +
+                    std::to_string(s.tries) + R"(,"pin_regions":)" + s.regions +
                     R"(}}]}],"clusters":[{"name":"s","max_conns":80,"warmup_s":3,"cold_per_s":)" +
                     std::to_string(s.cold_per_s) + "}]}";
   auto read = configuration::read(nlohmann::json::parse(text));
@@ -34,9 +36,10 @@
   return value(read);
 }
 
-struct World {
-  explicit World(const Setup& s = {}, std::uint64_t seed = 1, const std::string& name = "p1",
-                 const std::string& zone = "a1")
+// A proxy in zone a1, one of seven; `now` is advanced by the tests.
+struct ProxyFixture {
+  explicit ProxyFixture(const Setup& s = {}, std::uint64_t seed = 1, const std::string& name = "p1",
+                        const std::string& zone = "a1")
       : c(configured(s)), d({name, zone, kZones.at(zone)}, kZones, bounds(s), seed) {
     d.configure(now, c);
     d.set_proxies({"a1/p1", "a1/p2", "a2/p3", "b1/p4", "b1/p5", "b1/p6", "b1/p7"});
@@ -47,25 +50,30 @@
     b.strict_revoke = s.strict;
     return b;
   }
-  void list(const std::string& server, const std::string& zone, fleet::Phase phase = fleet::Phase::READY,
-            Duration cold = {}) {
+  // Reports the server to the proxy, with a newer record at each call.
+  void report_server(const std::string& server, const std::string& zone,
+                     fleet::Phase phase = fleet::Phase::READY, Duration cold = {}) {
     fleet::Server r;
     r.id = server, r.service = "s", r.address = "10.0.0.1:80", r.zone = zone, r.cap = 4, r.phase = phase,
     r.calls = ++calls, r.heard = now;
     r.cold_until = cold > Duration{} ? now + cold : Time{};
     d.update_servers(now, {r});
   }
-  Action one(Actions actions) {
+  Action only(Actions actions) {
     BOOST_REQUIRE(actions.size() == 1);
     return actions[0];
   }
-  Actions ask(Duration left = 1s) { return d.on_request(now, {++id, &c->routes[0], &c->tenants[0], left}); }
+  Actions request(Duration left = 1s) {
+    return d.on_request(now, {++id, &c->routes[0], &c->tenants[0], left});
+  }
   std::string server_of(const Action& a) {
     const auto* s = std::get_if<Send>(&a);
     BOOST_REQUIRE(s != nullptr);
     return d.find_server(s->server)->id;
   }
-  Action end(Outcome o, bool whole = true) { return one(d.on_attempt_ended(now, id, o, 50ms, whole)); }
+  Action end_attempt(Outcome o, bool whole = true) {
+    return only(d.on_attempt_ended(now, id, o, 50ms, whole));
+  }
 
   Time now{1h};
   std::shared_ptr<const Configuration> c;
