--- a/src/system/proxy/control_client.hpp
+++ b/src/system/proxy/control_client.hpp
@@ -37,7 +37,7 @@
     // Whether the link to the lease holder is up.
     virtual void on_holder_reachable(bool reachable) = 0;
     virtual void on_new_holder(std::uint64_t term) = 0;
-    virtual void on_grants(const decisions::UnitAnswer& answer) = 0;
+    virtual void on_grants(const decisions::UnitResponse& answer) = 0;
     virtual void on_grants_failed() = 0;
   };
   ControlClient(boost::asio::io_context& io, const SystemSettings& settings, const snowknot::Clock& clock,
@@ -48,7 +48,7 @@
   // Sets the state that registries receive for this proxy, at once and with each renewal.
   void set_state(bool ready, bool leaving);
   // Sends unit requests to the lease holder; fails at once if it is unreachable.
-  void request_units(const std::vector<decisions::UnitOrder>& orders);
+  void request_units(const std::vector<decisions::UnitRequest>& orders);
   const fleet::ChangeLog& changes() const { return changes_; }
 
  private:
--- a/src/system/proxy/proxy.cpp
+++ b/src/system/proxy/proxy.cpp
@@ -84,7 +84,7 @@
   std::vector<decisions::RequestId> abandoned;
   for (const auto& [id, exchange] : exchanges_)
     if (exchange.session == session) abandoned.push_back(id);
-  for (const auto id : abandoned) execute(decisions_.client_left(clock_.now(), id));
+  for (const auto id : abandoned) execute(decisions_.on_client_left(clock_.now(), id));
 }
 
 bool Proxy::is_repeatable(const Request& request) const {
@@ -95,7 +95,7 @@
 void Proxy::on_request(const std::shared_ptr<Session>& session, std::uint64_t number, Request request) {
   const Time now = clock_.now();
   if (!configuration_) {
-    decisions_.refused_without_configuration();
+    decisions_.count_refusal_without_configuration();
     return session->respond(number, {503, kUnconfiguredRetryAfter});
   }
   const auto* route = configuration_->route(request.host, request.target);
@@ -110,8 +110,8 @@
   exchange.session = session, exchange.number = number, exchange.request = std::move(request),
   exchange.deadline = now + time_left;
   if (tenant) exchange.tenant = tenant->name;
-  execute(decisions_.arrive(now, {id, route, tenant, time_left}));
-  if (!ticking_ && decisions_.open() > 0) tick();
+  execute(decisions_.on_request(now, {id, route, tenant, time_left}));
+  if (!ticking_ && decisions_.open_count() > 0) tick();
 }
 
 void Proxy::execute(decisions::Actions actions) {
@@ -141,7 +141,7 @@
 
 void Proxy::send(const decisions::Send& action) {
   const auto it = exchanges_.find(action.request);
-  const auto* server = decisions_.known(action.server);
+  const auto* server = decisions_.find_server(action.server);
   if (it == exchanges_.end() || !server) return;
   auto& exchange = it->second;
   Attempt attempt;
@@ -174,15 +174,15 @@
 
 void Proxy::on_attempt_ended(decisions::RequestId id, decisions::Outcome outcome, Duration elapsed,
                              bool complete) {
-  execute(decisions_.ended(clock_.now(), id, outcome, elapsed, complete));
-  for (const auto server : decisions_.dropped()) upstream_.forget(server);
+  execute(decisions_.on_attempt_ended(clock_.now(), id, outcome, elapsed, complete));
+  for (const auto server : decisions_.take_released_servers()) upstream_.forget(server);
 }
 
 void Proxy::tick() {
   ticking_ = true;
   timers_.after(kTickInterval, [this] {
     execute(decisions_.tick(clock_.now()));
-    if (decisions_.open() > 0) return tick();
+    if (decisions_.open_count() > 0) return tick();
     ticking_ = false;
   });
 }
@@ -191,10 +191,10 @@
 void Proxy::log_statistics() {
   timers_.after(kReportInterval, [this] {
     const auto& departures = decisions_.departures();
-    if (departures != reported_departures_) log_.info(decisions::shown(departures));
+    if (departures != reported_departures_) log_.info(decisions::to_string(departures));
     reported_departures_ = departures;
     const auto& refusals = decisions_.refusals();
-    if (refusals != reported_refusals_) log_.info(decisions::shown(refusals));
+    if (refusals != reported_refusals_) log_.info(decisions::to_string(refusals));
     reported_refusals_ = refusals;
     log_statistics();
   });
@@ -209,12 +209,12 @@
 
 void Proxy::on_confirmed(Time at) {
   confirmed_ = true;
-  decisions_.confirmed(at);
+  decisions_.set_confirmed(at);
   update_ready_state();
 }
 
 void Proxy::on_lagging(bool lagging) {
-  decisions_.set_behind(lagging);
+  decisions_.set_lagging(lagging);
   update_ready_state();
 }
 
@@ -232,22 +232,24 @@
 
 void Proxy::on_servers(const std::vector<fleet::Server>& changed, bool all_known) {
   servers_known_ = all_known;
-  decisions_.servers(clock_.now(), changed);
-  for (const auto server : decisions_.dropped()) upstream_.forget(server);
+  decisions_.update_servers(clock_.now(), changed);
+  for (const auto server : decisions_.take_released_servers()) upstream_.forget(server);
   update_ready_state();
 }
 
-void Proxy::on_proxies(const std::vector<std::string>& zone_and_id) { decisions_.proxies(zone_and_id); }
+void Proxy::on_proxies(const std::vector<std::string>& zone_and_id) { decisions_.set_proxies(zone_and_id); }
 
-void Proxy::on_holder_reachable(bool reachable) { execute(decisions_.holder(clock_.now(), reachable)); }
+void Proxy::on_holder_reachable(bool reachable) {
+  execute(decisions_.set_holder_reachable(clock_.now(), reachable));
+}
 
-void Proxy::on_new_holder(std::uint64_t term) { execute(decisions_.new_holder(clock_.now(), term)); }
+void Proxy::on_new_holder(std::uint64_t term) { execute(decisions_.on_new_holder(clock_.now(), term)); }
 
-void Proxy::on_grants(const decisions::UnitAnswer& answer) {
-  execute(decisions_.granted(clock_.now(), answer));
+void Proxy::on_grants(const decisions::UnitResponse& answer) {
+  execute(decisions_.on_grants(clock_.now(), answer));
 }
 
-void Proxy::on_grants_failed() { execute(decisions_.grants_failed(clock_.now())); }
+void Proxy::on_grants_failed() { execute(decisions_.on_grants_failed(clock_.now())); }
 
 void Proxy::drain(std::function<void()> on_drained) {
   if (drain_) return;
@@ -257,7 +259,7 @@
   update_ready_state();
   log_drain("begins");
   timers_.at(drain_->accepts_until, [this] { stop_accepting(); });
-  timers_.at(drain_->gives_up, [this] { abort_open_requests(); });
+  timers_.at(drain_->abort_at, [this] { abort_open_requests(); });
 }
 
 void Proxy::stop_accepting() {
@@ -270,7 +272,7 @@
 void Proxy::abort_open_requests() {
   if (!on_drained_) return;
   log_drain("gives up what is open");
-  execute(decisions_.give_up(clock_.now()));
+  execute(decisions_.abort_open_requests(clock_.now()));
   const auto all = sessions_;
   for (const auto& session : all) session->close_after_responses();
 }
@@ -281,10 +283,10 @@
   const auto all = sessions_;
   for (const auto& session : all) session->close_if_idle();
   const bool closed = sessions_.empty() && exchanges_.empty();
-  if (!closed && clock_.now() < drain_->ends)
+  if (!closed && clock_.now() < drain_->exit_at)
     return void(timers_.after(kTickInterval, [this] { finish_drain_when_closed(); }));
   log_drain("ends");
-  log_.info(decisions::shown(decisions_.refusals()));
+  log_.info(decisions::to_string(decisions_.refusals()));
   control_client_.stop();
   std::exchange(on_drained_, nullptr)();
 }
@@ -296,10 +298,10 @@
     if (!session->has_requests()) ++idle;
     blocked += session->blocked_responses();
   }
-  log_.info("drain " + step + ", " + std::to_string(millis(clock_.now() - drain_->began)) +
+  log_.info("drain " + step + ", " + std::to_string(millis(clock_.now() - drain_->started_at)) +
             " ms after SIGTERM: " + std::to_string(sessions_.size()) + " connections, " +
             std::to_string(idle) + " without a request; " +
-            decisions::shown(decisions_.open_requests(clock_.now())) + "; " + std::to_string(blocked) +
+            decisions::to_string(decisions_.open_requests(clock_.now())) + "; " + std::to_string(blocked) +
             " answers wait behind others");
 }
 
--- a/src/system/proxy/proxy.hpp
+++ b/src/system/proxy/proxy.hpp
@@ -40,7 +40,7 @@
   void on_lagging(bool lagging) override;
   void on_holder_reachable(bool reachable) override;
   void on_new_holder(std::uint64_t term) override;
-  void on_grants(const decisions::UnitAnswer& answer) override;
+  void on_grants(const decisions::UnitResponse& answer) override;
   void on_grants_failed() override;
 
  private:
--- a/src/system/proxy/upstream.cpp
+++ b/src/system/proxy/upstream.cpp
@@ -99,7 +99,7 @@
       http::Head head;
       const auto parsed = http::parse_response_head(input, kMaxHeadBytes, head);
       if (parsed.status == http::ParseStatus::incomplete) return false;
-      if (parsed.status != http::ParseStatus::complete) return fail(Outcome::garbled), true;
+      if (parsed.status != http::ParseStatus::complete) return fail(Outcome::invalid_response), true;
       if (head.status < 200) {
         input.erase(0, parsed.consumed);
         continue;
@@ -107,23 +107,23 @@
       const auto kind = http::response_body(head, attempt.method);
       if (!kind || kind->to_end ||
           (kind->kind.coding == stream::Coding::length && kind->kind.length > kMaxBodyBytes))
-        return fail(Outcome::garbled), true;
+        return fail(Outcome::invalid_response), true;
       std::string_view rest = std::string_view(input).substr(parsed.consumed);
       if (kind->kind.coding == stream::Coding::length && rest.size() < kind->kind.length) return false;
       BodyDecoder decoder(kind->kind);
       std::string body;
       while (!decoder.done()) {
         const auto step = decoder.next(rest);
-        if (step.status == BodyDecoder::Status::bad) return fail(Outcome::garbled), true;
+        if (step.status == BodyDecoder::Status::bad) return fail(Outcome::invalid_response), true;
         body.append(step.data);
         rest.remove_prefix(step.used);
-        if (body.size() > kMaxBodyBytes) return fail(Outcome::garbled), true;
+        if (body.size() > kMaxBodyBytes) return fail(Outcome::invalid_response), true;
         if (step.status == BodyDecoder::Status::more) return false;
       }
       const auto id = head.unique("Attempt-Id");
       if (id ? *id != attempt.attempt_id : head.has("Attempt-Id")) {  // belongs to another request
         unmatched_response = true;
-        if (++unmatched_count > kMaxUnmatchedResponses) return fail(Outcome::garbled), true;
+        if (++unmatched_count > kMaxUnmatchedResponses) return fail(Outcome::invalid_response), true;
         input.erase(0, input.size() - rest.size());
         if (input.empty()) return false;
         continue;
@@ -169,7 +169,7 @@
     if (head.status >= 200 && head.status < 300) {
       const bool complete = head.has("Seal") && head.unique("Attempt-Id") == attempt.attempt_id &&
                             !head.has("Content-Encoding");
-      return complete ? Outcome::ok : Outcome::garbled;
+      return complete ? Outcome::ok : Outcome::invalid_response;
     }
     if (head.status >= 500 || head.status == 429 || head.status == 408) return Outcome::error;
     return Outcome::ok;  // the server's own response, passed on to the client
