--- a/src/system/agreement/messages.cpp
+++ b/src/system/agreement/messages.cpp
@@ -29,9 +29,9 @@
   to.setNumber(change.number);
 }
 Change get(wire::Change::Reader r) {
-  const auto kind = r.getKind() <= static_cast<std::uint8_t>(ChangeKind::nothing)
+  const auto kind = r.getKind() <= static_cast<std::uint8_t>(ChangeKind::noop)
                         ? static_cast<ChangeKind>(r.getKind())
-                        : ChangeKind::nothing;
+                        : ChangeKind::noop;
   return {kind, text_of(r.getText()), r.getAuthor().cStr(), r.getNumber()};
 }
 void put(wire::AcceptedChange::Builder to, std::uint64_t slot, const AcceptedChange& accepted) {
--- a/src/system/agreement/messages.hpp
+++ b/src/system/agreement/messages.hpp
@@ -28,7 +28,7 @@
 
 // What a place in the log of changes holds. `author` and `number` tell a proposer its own.
 struct Change {
-  ChangeKind kind = ChangeKind::nothing;
+  ChangeKind kind = ChangeKind::noop;
   std::string text, author;
   std::uint64_t number = 0;
   bool operator==(const Change&) const = default;
@@ -86,7 +86,7 @@
 struct Log {
   std::vector<LogEntry> entries;  // in order, at most a batch
   std::uint64_t newest = 0;       // position of the sender: beyond the batch there is more to fetch
-  std::uint64_t digest_before = configuration::kDigestNotKnown;  // at the place before the first entry
+  std::uint64_t digest_before = configuration::kUnknownDigest;  // at the place before the first entry
 };
 
 using Message = std::variant<Prepare, Promise, Accept, Accepted, LogEntry, StatusRequest, Status, Fetch, Log>;
@@ -96,7 +96,7 @@
   std::uint64_t disk = 0;
   std::uint64_t membership = 0;  // the membership number that the sender knows
   std::uint64_t position = 0;    // of its log, and the digest there
-  std::uint64_t log_digest = configuration::kDigestNotKnown;
+  std::uint64_t log_digest = configuration::kUnknownDigest;
 };
 struct Envelope {
   Sender sender;
--- a/src/system/agreement/replica.cpp
+++ b/src/system/agreement/replica.cpp
@@ -38,12 +38,12 @@
   disk_ = kept.disk;
   promised_ = kept.promised;
   begin_log();
-  digests_.note(state_.position, state_.log_digest);
+  digests_.record(state_.position, state_.log_digest);
   for (auto& [slot, accepted] : kept.accepted) accepted_[slot] = std::move(accepted);
   for (const auto& entry : kept.log) {
     if (entry.slot != state_.position + 1) continue;
     configuration::apply(state_, entry.change.kind, entry.change.text);
-    digests_.note(state_.position, state_.log_digest);
+    digests_.record(state_.position, state_.log_digest);
     log_.push(entry);
     note_logged(entry);
   }
@@ -115,10 +115,10 @@
 
 Out Replica::propose(Time now, std::uint64_t id, ChangeKind kind, std::string text) {
   notice_time(now);
-  if (kind == ChangeKind::nothing && reads_.size() < kQueued) {
+  if (kind == ChangeKind::noop && reads_.size() < kQueued) {
     reads_.push_back({id, now});
     if (has_state() && !confirming_) begin_confirm(now);
-  } else if (kind == ChangeKind::nothing || queue_.size() >= kQueued) {
+  } else if (kind == ChangeKind::noop || queue_.size() >= kQueued) {
     out_.settled.push_back({id, 503, "too many calls wait"});
   } else {
     queue_.push_back({id, kind, std::move(text), now, false});
@@ -145,13 +145,15 @@
   auto& proposal = queue_.front();
   bool changes = true;
   bool needs_barrier = true;
-  configuration::Judgement judgement;
+  configuration::ValidationResult judgement;
   switch (proposal.kind) {
-    case ChangeKind::replace: judgement = configuration::judge_replace(state_, proposal.text, nullptr); break;
-    case ChangeKind::patch: judgement = configuration::judge_patch(state_, proposal.text, nullptr); break;
+    case ChangeKind::replace:
+      judgement = configuration::validate_replace(state_, proposal.text, nullptr);
+      break;
+    case ChangeKind::patch: judgement = configuration::validate_patch(state_, proposal.text, nullptr); break;
     case ChangeKind::evacuate:
     case ChangeKind::readmit:
-      judgement = configuration::judge_evacuation(state_, proposal.kind, proposal.text);
+      judgement = configuration::validate_evacuation(state_, proposal.kind, proposal.text);
       break;
     case ChangeKind::membership: {
       const auto change = configuration::decode_membership(proposal.text);
@@ -159,9 +161,9 @@
       needs_barrier = false;
       break;
     }
-    case ChangeKind::nothing: changes = false; break;
+    case ChangeKind::noop: changes = false; break;
   }
-  if (judgement.already) {
+  if (judgement.already_accepted) {
     changes = false;
     needs_barrier = false;
   }
@@ -217,7 +219,7 @@
   if (highest_) {
     offered_ = highest_->change;
   } else if (queue_.empty() || !ballot_for_first_) {
-    offered_ = {ChangeKind::nothing, "", options_.self, ++numbers_};
+    offered_ = {ChangeKind::noop, "", options_.self, ++numbers_};
   } else {
     const auto& proposal = queue_.front();
     offered_ = {proposal.kind, proposal.text, options_.self, ++numbers_};
@@ -296,7 +298,7 @@
   const auto membership = state_.membership;
   const bool took_effect = configuration::apply(state_, change.kind, change.text);
   crossings_ = 0;
-  digests_.note(state_.position, state_.log_digest);
+  digests_.record(state_.position, state_.log_digest);
   log_.push({slot, change});
   std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= slot; });
   out_.chosen.push_back({slot, change});
@@ -368,7 +370,7 @@
   const bool first = !has_state();
   if (snapshot.voters.empty() || (snapshot.position <= state_.position && !first)) return;
   state_ = snapshot;
-  digests_.note(state_.position, state_.log_digest);
+  digests_.record(state_.position, state_.log_digest);
   log_.clear();
   std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= state_.position; });
   out_.snapshot = true;
@@ -404,7 +406,7 @@
   const auto change = accepted->second.change;
   const auto digest = configuration::digest_after(state_.log_digest, static_cast<std::uint8_t>(change.kind),
                                                   change.text);
-  if (digest == configuration::kDigestNotKnown || digest != sender.log_digest) return;
+  if (digest == configuration::kUnknownDigest || digest != sender.log_digest) return;
   choose(now, sender.position, change);
 }
 
--- a/src/system/agreement/replica_quorum.cpp
+++ b/src/system/agreement/replica_quorum.cpp
@@ -190,7 +190,7 @@
     return note_contradiction(from, sender.disk, sender.position);
   const auto peer = peers_.find(from);
   if (peer != peers_.end() && peer->second.contradicting_disk == sender.disk &&
-      digests_.at(sender.position) != configuration::kDigestNotKnown)
+      digests_.at(sender.position) != configuration::kUnknownDigest)
     peer->second.contradicting_disk.reset();
 }
 
--- a/src/system/configuration/configuration.cpp
+++ b/src/system/configuration/configuration.cpp
@@ -71,17 +71,17 @@
   return lower;
 }
 
-Kind kind_of(const Json& rule) {
+RouteKind kind_of(const Json& rule) {
   const auto name = text(rule, "kind");
-  if (name == "idempotent") return Kind::idempotent;
-  if (name == "mutating") return Kind::mutating;
-  if (name == "download") return Kind::download;
+  if (name == "idempotent") return RouteKind::idempotent;
+  if (name == "mutating") return RouteKind::mutating;
+  if (name == "download") return RouteKind::download;
   wrong("kind", "is not known: " + name);
 }
 
 }  // namespace
 
-std::optional<std::uint64_t> version_of(const Json& field) {
+std::optional<std::uint64_t> parse_version(const Json& field) {
   if (field.is_number_unsigned()) return field.get<std::uint64_t>();
   if (!field.is_string()) return std::nullopt;
   const auto& s = field.get_ref<const std::string&>();
@@ -91,21 +91,21 @@
   return n;
 }
 
-std::string shown_version(std::uint64_t version) {
+std::string format_version(std::uint64_t version) {
   char out[17];
   std::snprintf(out, sizeof out, "%08llx", static_cast<unsigned long long>(version));
   return out;
 }
 
 std::uint64_t State::version() const {
-  return document.is_object() ? version_of(member(document, "gen")).value_or(0) : 0;
+  return document.is_object() ? parse_version(member(document, "gen")).value_or(0) : 0;
 }
 
 Result<std::shared_ptr<const Configuration>> read(const Json& document) {
   auto c = std::make_shared<Configuration>();
   try {
     if (!document.is_object()) wrong("configuration", "is no object");
-    const auto version = version_of(member(document, "gen"));
+    const auto version = parse_version(member(document, "gen"));
     if (!version) wrong("gen", "is no version");
     c->version = *version;
     if (const auto& l = member(document, "limits"); l.is_object()) {
@@ -168,13 +168,13 @@
         one.regions = texts(action, "pin_regions");
         if (const auto& split = member(action, "split"); !split.is_null()) {
           for (const auto& p : list(action, "split")) {
-            one.parts.push_back({service(p), amount(p, "wt", 0)});
-            one.weights += one.parts.back().weight;
+            one.targets.push_back({service(p), amount(p, "wt", 0)});
+            one.total_weight += one.targets.back().weight;
           }
-          if (one.weights <= 0) wrong("wt", "sums to 0 for " + one.name);
+          if (one.total_weight <= 0) wrong("wt", "sums to 0 for " + one.name);
         } else {
-          one.parts.push_back({service(action), 1});
-          one.weights = 1;
+          one.targets.push_back({service(action), 1});
+          one.total_weight = 1;
         }
         if (!places.emplace(host, one.prefix).second)
           wrong("pfx", "of " + one.name + " is another route's of the same host too");
@@ -194,7 +194,7 @@
   return std::shared_ptr<const Configuration>(c);
 }
 
-const Route* Configuration::route(std::string_view host, std::string_view target) const {
+const Route* Configuration::find_route(std::string_view host, std::string_view target) const {
   if (const auto colon = host.rfind(':'); colon != std::string_view::npos) host = host.substr(0, colon);
   const auto found = by_host_.find(lower_case(host));
   if (found == by_host_.end()) return nullptr;
@@ -204,15 +204,15 @@
   return nullptr;
 }
 
-const Tenant* Configuration::tenant_of(std::string_view key) const {
+const Tenant* Configuration::find_tenant(std::string_view key) const {
   const auto found = by_key_.find(std::string(key));
   return found == by_key_.end() ? nullptr : &tenants[found->second];
 }
 
 namespace {
 
-Judgement refused(int status, std::string why) {
-  Judgement judgement;
+ValidationResult refused(int status, std::string why) {
+  ValidationResult judgement;
   judgement.status = status;
   judgement.why = std::move(why);
   return judgement;
@@ -220,19 +220,20 @@
 
 // The version and base of a body against the state: 200 and `already` for a body that was taken, 200 if it can
 // be taken now.
-Judgement judge_version(const State& state, BodyCall call, std::string_view bytes, const Json& body) {
+ValidationResult judge_version(const State& state, BodyOperation call, std::string_view bytes,
+                               const Json& body) {
   if (!body.is_object()) return refused(400, "the body is no object");
-  const auto version = version_of(member(body, "gen"));
+  const auto version = parse_version(member(body, "gen"));
   if (!version) return refused(400, "gen is no version");
-  const auto parent = version_of(member(body, "parent"));
+  const auto parent = parse_version(member(body, "parent"));
   if (!parent) return refused(400, "parent is no version");
   if (*version <= *parent) return refused(400, "gen is not above the version that it builds on");
   const auto current = state.version();
-  if (*version <= current && state.history.holds(*version, digest_of(call, bytes)))
+  if (*version <= current && state.history.contains(*version, digest_of(call, bytes)))
     return {200, "", true, false};
   if (*parent != current)
-    return refused(412,
-                   "parent is " + shown_version(*parent) + ", the current version " + shown_version(current));
+    return refused(
+        412, "parent is " + format_version(*parent) + ", the current version " + format_version(current));
   return {};
 }
 
@@ -335,7 +336,7 @@
   return next;
 }
 
-Judgement judge_document(Json&& document, Json* after) {
+ValidationResult judge_document(Json&& document, Json* after) {
   if (const auto read_back = read(document); failed(read_back))
     return refused(400, failure(read_back).peer + " " + failure(read_back).what);
   if (after) *after = std::move(document);
@@ -344,19 +345,19 @@
 
 }  // namespace
 
-Judgement judge_replace(const State& state, std::string_view body, Json* after) {
+ValidationResult validate_replace(const State& state, std::string_view body, Json* after) {
   auto json = parsed(body);
   if (!json) return refused(400, "the body is not whole");
-  auto judged = judge_version(state, BodyCall::replace, body, *json);
-  if (judged.status != 200 || judged.already) return judged;
+  auto judged = judge_version(state, BodyOperation::replace, body, *json);
+  if (judged.status != 200 || judged.already_accepted) return judged;
   return judge_document(std::move(*json), after);
 }
 
-Judgement judge_patch(const State& state, std::string_view body, Json* after) {
+ValidationResult validate_patch(const State& state, std::string_view body, Json* after) {
   const auto json = parsed(body);
   if (!json) return refused(400, "the body is not whole");
-  auto judged = judge_version(state, BodyCall::patch, body, *json);
-  if (judged.status != 200 || judged.already) return judged;
+  auto judged = judge_version(state, BodyOperation::patch, body, *json);
+  if (judged.status != 200 || judged.already_accepted) return judged;
   if (!state.document.is_object()) return refused(412, "there is no configuration to change");
   try {
     return judge_document(patched(state.document, *json), after);
@@ -405,7 +406,7 @@
 
 }  // namespace
 
-Judgement judge_evacuation(const State& state, ChangeKind kind, std::string_view text) {
+ValidationResult validate_evacuation(const State& state, ChangeKind kind, std::string_view text) {
   const auto order = decode_evacuation(text);
   if (!order) return refused(400, "the order names no zone");
   const bool evacuated = std::ranges::binary_search(state.evacuated, order->zone);
@@ -422,7 +423,7 @@
 // At state.position, which is the order's own already. An order whose wish holds moves the zone on as well: an opposite
 // one from before that is still on its way has no effect after it.
 bool apply_evacuation(State& state, ChangeKind kind, const std::string& text) {
-  const auto judged = judge_evacuation(state, kind, text);
+  const auto judged = validate_evacuation(state, kind, text);
   if (judged.status != 200) return false;
   const auto zone = decode_evacuation(text)->zone;
   if (!judged.in_force && kind == ChangeKind::evacuate)
@@ -441,10 +442,10 @@
     case ChangeKind::replace:
     case ChangeKind::patch: {
       Json after;
-      const auto call = kind == ChangeKind::replace ? BodyCall::replace : BodyCall::patch;
-      const auto judged = kind == ChangeKind::replace ? judge_replace(state, change, &after)
-                                                      : judge_patch(state, change, &after);
-      if (judged.status != 200 || judged.already) return false;
+      const auto call = kind == ChangeKind::replace ? BodyOperation::replace : BodyOperation::patch;
+      const auto judged = kind == ChangeKind::replace ? validate_replace(state, change, &after)
+                                                      : validate_patch(state, change, &after);
+      if (judged.status != 200 || judged.already_accepted) return false;
       state.document = std::move(after);
       state.history.record(state.version(), digest_of(call, change));
       return true;
@@ -452,7 +453,7 @@
     case ChangeKind::evacuate:
     case ChangeKind::readmit: return apply_evacuation(state, kind, change);
     case ChangeKind::membership: return apply_membership(state, change);
-    case ChangeKind::nothing: break;
+    case ChangeKind::noop: break;
   }
   return false;
 }
--- a/src/system/configuration/configuration.hpp
+++ b/src/system/configuration/configuration.hpp
@@ -20,21 +20,21 @@
 
 namespace docklift::configuration {
 
-enum class Kind { idempotent, mutating, download };
+enum class RouteKind { idempotent, mutating, download };
 
-struct Part {                 // of a split
+struct SplitTarget {          // of a split
   std::uint32_t service = 0;  // index into Configuration::services
   double weight = 1;
 };
 
 struct Route {
   std::string name, host, prefix;
-  Kind kind = Kind::mutating;
+  RouteKind kind = RouteKind::mutating;
   bool is_public = false;
   std::uint32_t priority = 0, tries = 1;
   double target_ms = 0, timeout_ms = 0;
-  std::vector<Part> parts;
-  double weights = 0;                // their sum
+  std::vector<SplitTarget> targets;
+  double total_weight = 0;           // their sum
   std::vector<std::string> regions;  // homes; empty: everywhere
 };
 
@@ -66,8 +66,8 @@
 
   // The route with the longest prefix of the path among the host's; null: there is none. `host` may carry a
   // port.
-  const Route* route(std::string_view host, std::string_view target) const;
-  const Tenant* tenant_of(std::string_view key) const;
+  const Route* find_route(std::string_view host, std::string_view target) const;
+  const Tenant* find_tenant(std::string_view key) const;
   bool has_tenants() const { return has_tenants_; }
 
  private:
@@ -80,8 +80,8 @@
 // What a whole document means; a failure names the field.
 Result<std::shared_ptr<const Configuration>> read(const nlohmann::json& document);
 
-std::optional<std::uint64_t> version_of(const nlohmann::json& field);  // eight hexadecimal digits, or 0
-std::string shown_version(std::uint64_t version);
+std::optional<std::uint64_t> parse_version(const nlohmann::json& field);  // eight hexadecimal digits, or 0
+std::string format_version(std::uint64_t version);
 
 // A store with a vote: its address together with the identity of its disk. Another disk at the same address is
 // another voter.
@@ -111,15 +111,15 @@
   VersionHistory history;              // the bodies that were taken
   // Zone -> position of the last order that changed whether it is evacuated.
   std::map<std::string, std::uint64_t> zone_changes;
-  std::uint64_t log_digest = kDigestOfNoChanges;  // of all changes up to `position`
+  std::uint64_t log_digest = kEmptyLogDigest;  // of all changes up to `position`
 
   std::uint64_t version() const;
 };
 
-struct Judgement {
+struct ValidationResult {
   int status = 200;  // 200, 400 or 412; 503 for an order that has no effect and may be given anew
   std::string why;
-  bool already = false;  // 200 for a body that was taken before: final, nothing to agree on
+  bool already_accepted = false;  // 200 for a body that was taken before: final, nothing to agree on
   bool in_force =
       false;  // 200 for a wish that holds in this state; agreed on all the same, against older orders
 };
@@ -129,13 +129,13 @@
 // A 400 is final on any store, also on one that is behind: it depends on the body alone (its `gen` is not above
 // its own `parent`) or on the document of the version that it builds on, which is the same wherever it is
 // current. A 412 depends on which version is current, so it may be given only after a majority was asked.
-Judgement judge_replace(const State& state, std::string_view body, nlohmann::json* after);
-Judgement judge_patch(const State& state, std::string_view body, nlohmann::json* after);
+ValidationResult validate_replace(const State& state, std::string_view body, nlohmann::json* after);
+ValidationResult validate_patch(const State& state, std::string_view body, nlohmann::json* after);
 
 enum class ChangeKind : std::uint8_t { replace, patch, evacuate, readmit, membership, nothing };
 // What an evacuation order (`kind` evacuate or readmit) would be answered on top of a state. Anything but a 400
 // depends on the state: it may be given only after a majority was asked.
-Judgement judge_evacuation(const State& state, ChangeKind kind, std::string_view text);
+ValidationResult validate_evacuation(const State& state, ChangeKind kind, std::string_view text);
 // Puts a change at the next place of the log into force. False: it changed nothing that is in force.
 bool apply(State& state, ChangeKind kind, const std::string& change);
 
--- a/src/system/configuration/evacuation_order.cpp
+++ b/src/system/configuration/evacuation_order.cpp
@@ -4,12 +4,12 @@
 
 namespace docklift::configuration {
 
-std::string encode(const EvacuationOrder& order) { return std::to_string(order.base) + " " + order.zone; }
+std::string encode(const EvacuationCommand& order) { return std::to_string(order.base) + " " + order.zone; }
 
-std::optional<EvacuationOrder> decode_evacuation(std::string_view text) {
+std::optional<EvacuationCommand> decode_evacuation(std::string_view text) {
   const auto space = text.find(' ');
   if (space == std::string_view::npos || space + 1 == text.size()) return std::nullopt;
-  EvacuationOrder order;
+  EvacuationCommand order;
   const char* const end = text.data() + space;
   const auto read = std::from_chars(text.data(), end, order.base);
   if (read.ec != std::errc{} || read.ptr != end) return std::nullopt;
--- a/src/system/configuration/evacuation_order.hpp
+++ b/src/system/configuration/evacuation_order.hpp
@@ -11,14 +11,14 @@
 
 // Takes effect only if no later order of the same zone has taken effect in between: one that was held up and
 // arrives late must not start an evacuation which another order has ended since (compare and set).
-struct EvacuationOrder {
+struct EvacuationCommand {
   std::string zone;
   std::uint64_t base = 0;  // position of the log at the registry when the order arrived there
-  bool operator==(const EvacuationOrder&) const = default;
+  bool operator==(const EvacuationCommand&) const = default;
 };
 
 // The text of the change: base in decimal, a space, the zone.
-std::string encode(const EvacuationOrder& order);
-std::optional<EvacuationOrder> decode_evacuation(std::string_view text);  // none: not of this form
+std::string encode(const EvacuationCommand& order);
+std::optional<EvacuationCommand> decode_evacuation(std::string_view text);  // none: not of this form
 
 }  // namespace docklift::configuration
--- a/src/system/configuration/log_digests.cpp
+++ b/src/system/configuration/log_digests.cpp
@@ -6,32 +6,32 @@
 namespace docklift::configuration {
 
 std::uint64_t digest_after(std::uint64_t before, std::uint8_t kind, std::string_view text) {
-  if (before == kDigestNotKnown) return kDigestNotKnown;
+  if (before == kUnknownDigest) return kUnknownDigest;
   constexpr std::uint64_t kSpread = 0x9e3779b97f4a7c15ULL;  // so that no kind undoes a difference before
   const std::uint64_t seed = before ^ ((std::uint64_t{kind} + 1) * kSpread);
   const std::uint64_t digest = XXH3_64bits_withSeed(text.data(), text.size(), seed);
-  return digest == kDigestNotKnown ? kDigestOfNoChanges : digest;
+  return digest == kUnknownDigest ? kEmptyLogDigest : digest;
 }
 
-void LogDigests::note(std::uint64_t position, std::uint64_t digest) {
+void LogDigests::record(std::uint64_t position, std::uint64_t digest) {
   if (digests_.empty() || position != first_ + digests_.size()) {
     digests_.clear();
     first_ = position;
   }
   digests_.push_back(digest);
-  if (digests_.size() <= kMostPlaces) return;
+  if (digests_.size() <= kMaxDigests) return;
   digests_.pop_front();
   ++first_;
 }
 
 std::uint64_t LogDigests::at(std::uint64_t position) const {
-  if (position < first_ || position - first_ >= digests_.size()) return kDigestNotKnown;
+  if (position < first_ || position - first_ >= digests_.size()) return kUnknownDigest;
   return digests_[position - first_];
 }
 
 bool LogDigests::contradicts(std::uint64_t position, std::uint64_t digest) const {
   const auto own = at(position);
-  return own != kDigestNotKnown && digest != kDigestNotKnown && own != digest;
+  return own != kUnknownDigest && digest != kUnknownDigest && own != digest;
 }
 
 }  // namespace docklift::configuration
--- a/src/system/configuration/log_digests.hpp
+++ b/src/system/configuration/log_digests.hpp
@@ -8,8 +8,8 @@
 
 namespace docklift::configuration {
 
-inline constexpr std::uint64_t kDigestNotKnown = 0;  // of a state that an earlier version has written
-inline constexpr std::uint64_t kDigestOfNoChanges = 1;
+inline constexpr std::uint64_t kUnknownDigest = 0;  // of a state that an earlier version has written
+inline constexpr std::uint64_t kEmptyLogDigest = 1;
 
 // The digest after a change at the place after those that `before` covers; not known where that is not.
 std::uint64_t digest_after(std::uint64_t before, std::uint8_t kind, std::string_view text);
@@ -17,10 +17,10 @@
 // Of the last places of one log.
 class LogDigests {
  public:
-  static constexpr std::size_t kMostPlaces = 1024;
+  static constexpr std::size_t kMaxDigests = 1024;
 
   // The place after the last one, or one that a snapshot has led to.
-  void note(std::uint64_t position, std::uint64_t digest);
+  void record(std::uint64_t position, std::uint64_t digest);
   std::uint64_t at(std::uint64_t position) const;
   // Whether a log with this digest at a place holds other changes than this one. False where either is not known.
   bool contradicts(std::uint64_t position, std::uint64_t digest) const;
--- a/src/system/configuration/version_history.cpp
+++ b/src/system/configuration/version_history.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-BodyDigest digest_of(BodyCall call, std::string_view body) {
+BodyDigest digest_of(BodyOperation call, std::string_view body) {
   const auto seed = static_cast<XXH64_hash_t>(call);
   const XXH128_hash_t hash = XXH3_128bits_withSeed(body.data(), body.size(), seed);
   return {hash.high64, hash.low64};
@@ -36,11 +36,11 @@
 
 void VersionHistory::record(std::uint64_t version, const BodyDigest& digest) {
   taken_.push_back({version, digest});
-  if (taken_.size() > kMostVersions) taken_.erase(taken_.begin());
+  if (taken_.size() > kMaxVersions) taken_.erase(taken_.begin());
 }
 
-bool VersionHistory::holds(std::uint64_t version, const BodyDigest& digest) const {
-  const auto found = std::ranges::lower_bound(taken_, version, {}, &TakenVersion::version);
+bool VersionHistory::contains(std::uint64_t version, const BodyDigest& digest) const {
+  const auto found = std::ranges::lower_bound(taken_, version, {}, &AcceptedVersion::version);
   return found != taken_.end() && found->version == version && found->digest == digest;
 }
 
--- a/src/system/configuration/version_history.hpp
+++ b/src/system/configuration/version_history.hpp
@@ -20,14 +20,14 @@
 };
 
 // The call with which a body was sent: the same bytes mean different changes under different calls.
-enum class BodyCall : std::uint8_t { replace, patch };
+enum class BodyOperation : std::uint8_t { replace, patch };
 
-BodyDigest digest_of(BodyCall call, std::string_view body);
+BodyDigest digest_of(BodyOperation call, std::string_view body);
 
-struct TakenVersion {
+struct AcceptedVersion {
   std::uint64_t version = 0;
   BodyDigest digest;
-  bool operator==(const TakenVersion&) const = default;
+  bool operator==(const AcceptedVersion&) const = default;
 };
 
 // The versions that were taken, oldest first; their numbers rise strictly.
@@ -35,12 +35,12 @@
  public:
   // Versions that are remembered: more than a day of the most changes that are asked for (9,100). A body whose
   // version was forgotten is refused as stale (412). 24 bytes each in a snapshot, 240 KB at most.
-  static constexpr std::size_t kMostVersions = 10'000;
+  static constexpr std::size_t kMaxVersions = 10'000;
 
   // `version` must be above all that were recorded before.
   void record(std::uint64_t version, const BodyDigest& digest);
   // Whether exactly this body was taken as this version.
-  bool holds(std::uint64_t version, const BodyDigest& digest) const;
+  bool contains(std::uint64_t version, const BodyDigest& digest) const;
 
   std::size_t size() const { return taken_.size(); }
   bool operator==(const VersionHistory&) const = default;
@@ -51,7 +51,7 @@
   static std::optional<VersionHistory> decode(std::string_view bytes);
 
  private:
-  std::vector<TakenVersion> taken_;
+  std::vector<AcceptedVersion> taken_;
 };
 
 }  // namespace docklift::configuration
--- a/src/system/decisions/decisions.cpp
+++ b/src/system/decisions/decisions.cpp
@@ -94,9 +94,9 @@
 
 // By the weights of the route's parts.
 const std::string& Decisions::choose_service(const configuration::Route& route) {
-  double lot = static_cast<double>(rng_() >> 11) * 0x1.0p-53 * route.weights;
-  const auto* chosen = &route.parts.back();
-  for (const auto& part : route.parts) {
+  double lot = static_cast<double>(rng_() >> 11) * 0x1.0p-53 * route.total_weight;
+  const auto* chosen = &route.targets.back();
+  for (const auto& part : route.targets) {
     if (part.weight <= 0) continue;
     chosen = &part;
     if ((lot -= part.weight) < 0) break;
@@ -108,7 +108,7 @@
   const auto& route = *arrival.route;
   Request r;
   r.service = choose_service(route);
-  r.repeatable = route.kind != configuration::Kind::mutating;
+  r.repeatable = route.kind != configuration::RouteKind::mutating;
   r.target = from_millis(route.target_ms > 0 ? route.target_ms : kDefaultTargetMs);
   r.arrived = now;
   Duration held = arrival.time_left;
--- a/src/system/fleet/change_log.cpp
+++ b/src/system/fleet/change_log.cpp
@@ -25,7 +25,7 @@
   for (const auto& zone : state_.evacuated)
     if (!std::ranges::binary_search(snapshot.evacuated, zone)) readmitted_.push_back(zone);
   state_ = std::move(snapshot);
-  digests_.note(state_.position, state_.log_digest);
+  digests_.record(state_.position, state_.log_digest);
   recent_.clear();
   reread();
   return News::taken;
@@ -49,7 +49,7 @@
     document = document || (effect && (e.change == wire::Change::REPLACE || e.change == wire::Change::PATCH));
     std::ranges::set_difference(evacuated_before, state_.evacuated, std::back_inserter(readmitted_));
     taken = true;
-    digests_.note(state_.position, state_.log_digest);
+    digests_.record(state_.position, state_.log_digest);
     recent_.push(e);
   }
   if (document) reread();
--- a/src/system/fleet/frames.cpp
+++ b/src/system/fleet/frames.cpp
@@ -70,7 +70,7 @@
     case wire::Change::MEMBERSHIP: return configuration::ChangeKind::membership;
     case wire::Change::NOTHING: break;
   }
-  return configuration::ChangeKind::nothing;
+  return configuration::ChangeKind::noop;
 }
 
 wire::Change change_of(configuration::ChangeKind kind) {
@@ -80,7 +80,7 @@
     case configuration::ChangeKind::evacuate: return wire::Change::EVACUATE;
     case configuration::ChangeKind::readmit: return wire::Change::READMIT;
     case configuration::ChangeKind::membership: return wire::Change::MEMBERSHIP;
-    case configuration::ChangeKind::nothing: break;
+    case configuration::ChangeKind::noop: break;
   }
   return wire::Change::NOTHING;
 }
--- a/src/system/proxy/proxy.cpp
+++ b/src/system/proxy/proxy.cpp
@@ -88,8 +88,8 @@
 }
 
 bool Proxy::is_repeatable(const Request& request) const {
-  const auto* route = configuration_ ? configuration_->route(request.host, request.target) : nullptr;
-  return route && route->kind != configuration::Kind::mutating;
+  const auto* route = configuration_ ? configuration_->find_route(request.host, request.target) : nullptr;
+  return route && route->kind != configuration::RouteKind::mutating;
 }
 
 void Proxy::on_request(const std::shared_ptr<Session>& session, std::uint64_t number, Request request) {
@@ -98,9 +98,9 @@
     decisions_.refused_without_configuration();
     return session->answer(number, {503, kNoConfiguration});
   }
-  const auto* route = configuration_->route(request.host, request.target);
+  const auto* route = configuration_->find_route(request.host, request.target);
   if (!route) return session->answer(number, denial(404));
-  const auto* tenant = request.key.empty() ? nullptr : configuration_->tenant_of(request.key);
+  const auto* tenant = request.key.empty() ? nullptr : configuration_->find_tenant(request.key);
   if (configuration_->has_tenants() && !route->is_public && !tenant)
     return session->answer(number, denial(401));
   const auto id = ++last_id_;
@@ -220,7 +220,7 @@
   if (const auto& c = changes.configuration(); c && c != configuration_) {
     configuration_ = c;
     decisions_.configure(now, c);
-    log_.info("version " + configuration::shown_version(c->version) + " is in force, change " +
+    log_.info("version " + configuration::format_version(c->version) + " is in force, change " +
               std::to_string(changes.position()));
   }
   decisions_.set_evacuated(now, changes.state().evacuated, changes.readmitted());
--- a/src/system/registry/handlers.cpp
+++ b/src/system/registry/handlers.cpp
@@ -20,12 +20,12 @@
 }  // namespace
 
 // That a server ends is acknowledged where it is sure to come to the proxies that are linked elsewhere.
-http::Answer Instances::acknowledge_end() const {
+http::Answer InstanceHandler::acknowledge_end() const {
   if (registry_.reaches_majority()) return {200, "{}"};
   return {503, body_of_error("this node is cut off from the others"), kRetryAfterS};
 }
 
-bool Instances::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool InstanceHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
   const Time now = registry_.now();
   if (const auto id = after(call.path(), "/Instances.Leave/")) {
     fleet::Server s;
@@ -59,12 +59,12 @@
   return true;
 }
 
-bool Configurations::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool ConfigurationHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
   const auto path = call.path();
   if (path == "/Config.Read") {
     // The newest that a majority knows of, also where this machine was cut off until now.
     registry_.propose(
-        configuration::ChangeKind::nothing, "",
+        configuration::ChangeKind::noop, "",
         [this, respond](int status, const std::string& why, std::uint64_t at) {
           if (status != 200) return respond({503, body_of_error(why), kRetryAfterS});
           registry_.when_at(at, [this, respond](bool in_time) {
@@ -87,11 +87,11 @@
   return true;
 }
 
-bool Evacuations::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool EvacuationHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
   const auto start = after(call.path(), "/Evac.Start/");
   const auto stop = after(call.path(), "/Evac.Stop/");
   if (!start && !stop) return false;
-  const configuration::EvacuationOrder order{start ? *start : *stop, registry_.changes().position()};
+  const configuration::EvacuationCommand order{start ? *start : *stop, registry_.changes().position()};
   if (!registry_.settings().zones.contains(order.zone)) {
     respond({404, body_of_error("no zone of that name")});
     return true;
@@ -104,7 +104,7 @@
   return true;
 }
 
-bool Directory::handle(const http::Call& call, const http::Server::Respond& respond) {
+bool ResolveHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
   if (call.path() != "/resolve") return false;
   constexpr std::size_t kMost = 64;
   constexpr int kTtlS = 2;
@@ -130,7 +130,7 @@
   return true;
 }
 
-bool EndingNode::handle(const http::Call&, const http::Server::Respond& respond) {
+bool ShutdownHandler::handle(const http::Call&, const http::Server::Respond& respond) {
   if (!registry_.ends()) return false;
   respond({503, body_of_error("this node ends"), kRetryAfterS});
   return true;
--- a/src/system/registry/handlers.hpp
+++ b/src/system/registry/handlers.hpp
@@ -18,9 +18,9 @@
   virtual bool handle(const http::Call& call, const http::Server::Respond& respond) = 0;
 };
 
-class Instances : public Handler {  // servers' beats and leaves
+class InstanceHandler : public Handler {  // servers' beats and leaves
  public:
-  explicit Instances(Registry& registry) : registry_(registry) {}
+  explicit InstanceHandler(Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
 
  private:
@@ -28,27 +28,27 @@
   Registry& registry_;
 };
 
-class Configurations : public Handler {  // replace, patch, read
+class ConfigurationHandler : public Handler {  // replace, patch, read
  public:
-  explicit Configurations(Registry& registry) : registry_(registry) {}
+  explicit ConfigurationHandler(Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
 
  private:
   Registry& registry_;
 };
 
-class Evacuations : public Handler {
+class EvacuationHandler : public Handler {
  public:
-  explicit Evacuations(Registry& registry) : registry_(registry) {}
+  explicit EvacuationHandler(Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
 
  private:
   Registry& registry_;
 };
 
-class Directory : public Handler {  // where clients go
+class ResolveHandler : public Handler {  // where clients go
  public:
-  explicit Directory(Registry& registry) : registry_(registry) {}
+  explicit ResolveHandler(Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
 
  private:
@@ -56,9 +56,9 @@
 };
 
 // Every call at a registry that ends: 503, so that the caller goes to another node. Stands ahead of the others.
-class EndingNode : public Handler {
+class ShutdownHandler : public Handler {
  public:
-  explicit EndingNode(const Registry& registry) : registry_(registry) {}
+  explicit ShutdownHandler(const Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
 
  private:
--- a/src/system/registry/main.cpp
+++ b/src/system/registry/main.cpp
@@ -30,9 +30,10 @@
                                                 dispatch(std::move(handlers)));
         };
         const auto ctl = serve(
-            "ctl", {std::make_shared<EndingNode>(registry), std::make_shared<Instances>(registry),
-                    std::make_shared<Configurations>(registry), std::make_shared<Evacuations>(registry)});
-        const auto dir = serve("dir", {std::make_shared<Directory>(registry)});
+            "ctl", {std::make_shared<ShutdownHandler>(registry), std::make_shared<InstanceHandler>(registry),
+                    std::make_shared<ConfigurationHandler>(registry),
+                    std::make_shared<EvacuationHandler>(registry)});
+        const auto dir = serve("dir", {std::make_shared<ResolveHandler>(registry)});
         if (!ctl && !dir) return log.error("read settings: neither listen.ctl nor listen.dir is told"), 2;
         const Signals signals(
             io, [&] { registry.stop([&] { io.stop(); }); }, [](const SystemSettings&) {});
--- a/src/system/registry/registry_changes.cpp
+++ b/src/system/registry/registry_changes.cpp
@@ -98,7 +98,7 @@
 void Registry::begin_read_barrier() {
   const Time begun = clock_.now();
   confirmation_.asked(begun, changes_.position());
-  propose(configuration::ChangeKind::nothing, "",
+  propose(configuration::ChangeKind::noop, "",
           [this, begun](int status, const std::string&, std::uint64_t position) {
             if (status == 200) end_read_barrier(begun, position);
           });
--- a/src/system/store/store.cpp
+++ b/src/system/store/store.cpp
@@ -212,7 +212,7 @@
     receiver_.on_position(replica_.state().position);
     for (const auto& c : out.chosen)
       log_.info("change " + std::to_string(c.slot) + " is in force, version " +
-                configuration::shown_version(replica_.state().version()));
+                configuration::format_version(replica_.state().version()));
     for (auto& [link, r] : registries_) bring_up_to_date(r);
     dial_others();
   }
--- a/src/system/wire/fleet.capnp
+++ b/src/system/wire/fleet.capnp
@@ -42,7 +42,7 @@
 struct Entry {
   position @0 :UInt64;   # 1, 2, 3, ...
   change @1 :Change;
-  text @2 :Data;         # replace, patch: the body as it was sent; evacuate, readmit: an EvacuationOrder; membership: the next voters
+  text @2 :Data;         # replace, patch: the body as it was sent; evacuate, readmit: an EvacuationCommand; membership: the next voters
 }
 # A store with a vote: an address and the identity of its disk.
 struct Voter { address @0 :Text; disk @1 :UInt64; }
--- a/tests/system/agreement_test.cpp
+++ b/tests/system/agreement_test.cpp
@@ -111,7 +111,7 @@
     for (std::size_t i = 0; i < 3; ++i) core.lose_power(i);
     core.run(1s);
     for (std::size_t i = 0; i < 3; ++i) core.start(i);
-    BOOST_TEST(core.settled(core.propose(1, ChangeKind::nothing, "")) == 200);
+    BOOST_TEST(core.settled(core.propose(1, ChangeKind::noop, "")) == 200);
     BOOST_TEST(core.state(1).version() == 5u, "seed " << seed);
     BOOST_TEST(core.state(1).evacuated.size() == 1u, "seed " << seed);
   }
@@ -125,7 +125,7 @@
     core.lose_disk(0), core.lose_disk(1), core.lose_power(2);
     core.run(600ms);
     for (std::size_t i = 0; i < 3; ++i) core.start(i);
-    BOOST_TEST(core.settled(core.propose(0, ChangeKind::nothing, "")) == 200, "seed " << seed);
+    BOOST_TEST(core.settled(core.propose(0, ChangeKind::noop, "")) == 200, "seed " << seed);
     BOOST_TEST(core.state(0).version() == 5u, "seed " << seed);
   }
 }
@@ -185,7 +185,7 @@
     for (std::size_t i = 3; i < 6; ++i) core.lose_power(i);
     core.run(500ms);
     for (std::size_t i = 3; i < 6; ++i) core.start(i);
-    BOOST_TEST(core.settled(core.propose(4, ChangeKind::nothing, "")) == 200, "seed " << seed);
+    BOOST_TEST(core.settled(core.propose(4, ChangeKind::noop, "")) == 200, "seed " << seed);
     BOOST_TEST(core.state(4).version() == version, "seed " << seed);
   }
 }
@@ -343,7 +343,7 @@
     BOOST_TEST(core.answers[stale].status != 200, "seed " << seed);
     BOOST_TEST(core.state(2).version() == 5u, "seed " << seed);
     core.start(1);
-    BOOST_TEST(core.settled(core.propose(2, ChangeKind::nothing, "")) == 200, "seed " << seed);
+    BOOST_TEST(core.settled(core.propose(2, ChangeKind::noop, "")) == 200, "seed " << seed);
     BOOST_TEST(core.state(2).version() == 6u, "seed " << seed);
     for (const auto& wrong : core.wrongs) BOOST_TEST(false, "seed " << seed << ": " << wrong);
     BOOST_TEST(core.put(0, 9, 6) == 200, "seed " << seed);
@@ -406,7 +406,7 @@
     core.lose_disk(0), core.lose_disk(1), core.lose_power(2);
     core.run(300ms);
     for (std::size_t i = 0; i < 3; ++i) core.start(i);
-    BOOST_TEST(core.settled(core.propose(2, ChangeKind::nothing, "")) == 200);
+    BOOST_TEST(core.settled(core.propose(2, ChangeKind::noop, "")) == 200);
     BOOST_TEST(core.state(2).version() == 6u, "seed " << seed);
   }
 }
@@ -424,7 +424,7 @@
     core.lose_disk(0), core.lose_disk(1), core.lose_power(2);
     core.run(300ms);
     for (std::size_t i = 0; i < 3; ++i) core.start(i);
-    BOOST_TEST(core.settled(core.propose(2, ChangeKind::nothing, "")) == 200);
+    BOOST_TEST(core.settled(core.propose(2, ChangeKind::noop, "")) == 200);
     BOOST_TEST(core.state(2).version() == 6u, "seed " << seed);
   }
 }
@@ -439,7 +439,7 @@
     core.lose_disk(0), core.lose_disk(1), core.lose_power(2);
     core.run(300ms);
     for (std::size_t i = 0; i < 3; ++i) core.start(i);
-    BOOST_TEST(core.settled(core.propose(1, ChangeKind::nothing, "")) == 200);
+    BOOST_TEST(core.settled(core.propose(1, ChangeKind::noop, "")) == 200);
     BOOST_TEST(core.state(1).version() == 5u, "seed " << seed);
   }
 }
@@ -461,7 +461,7 @@
     core.start(odd);
     core.run(500ms);
     const auto wrong = core.propose(odd, ChangeKind::replace, config_body(8, 7));
-    const auto read = core.propose(odd, ChangeKind::nothing, "");
+    const auto read = core.propose(odd, ChangeKind::noop, "");
     core.run(3s);
     BOOST_TEST(core.put(other, 9, 6) == 200);
     BOOST_TEST(core.settled(wrong) == 503);
@@ -575,7 +575,7 @@
   successors_tell();
   keep_own(
       store.propose(now, 1, ChangeKind::evacuate,
-                    docklift::configuration::encode(docklift::configuration::EvacuationOrder{"a", place})));
+                    docklift::configuration::encode(docklift::configuration::EvacuationCommand{"a", place})));
   run(1s);
   BOOST_TEST(store.state().position == place);
   run(3s);
@@ -625,7 +625,7 @@
     core.kill(0);
     core.run(3s);
     BOOST_TEST(core.state(1).version() == core.state(2).version(), "seed " << seed);
-    BOOST_TEST(core.settled(core.propose(1, ChangeKind::nothing, "")) == 200, "seed " << seed);
+    BOOST_TEST(core.settled(core.propose(1, ChangeKind::noop, "")) == 200, "seed " << seed);
   }
 }
 
@@ -686,13 +686,13 @@
   core.run(12s);
   Play p;
   p.wrongs = core.wrongs;
-  if (core.settled(core.propose(0, ChangeKind::nothing, "")) != 200)
+  if (core.settled(core.propose(0, ChangeKind::noop, "")) != 200)
     p.wrongs.push_back("the core does not come back");
   std::map<std::uint64_t, std::uint64_t> in_force;  // parent -> version
   for (const auto& [place, text] : core.history) {
     if (text.front() != '0') continue;
     const auto json = nlohmann::json::parse(text.substr(1));
-    in_force[*configuration::version_of(json["parent"])] = *configuration::version_of(json["gen"]);
+    in_force[*configuration::parse_version(json["parent"])] = *configuration::parse_version(json["gen"]);
   }
   for (const auto& [call, vp] : sent) {
     if (core.answers[call].status != 200) continue;
@@ -729,7 +729,7 @@
   f.kill(2);
   f.cut(0, 2), f.cut(1, 2);
   f.start(2);
-  const auto read = f.propose(2, ChangeKind::nothing, "");  // its question reaches nobody
+  const auto read = f.propose(2, ChangeKind::noop, "");  // its question reaches nobody
   f.run(60ms);
   BOOST_TEST(f.answers[read].status == 0);
   f.heal();
--- a/tests/system/configuration_model_test.cpp
+++ b/tests/system/configuration_model_test.cpp
@@ -113,11 +113,11 @@
 
   void submit(ChangeKind kind, json body, const Model& next) {
     const auto parent = state_.version();
-    body["gen"] = configuration::shown_version(parent + 1 + random_() % 3);
-    body["parent"] = configuration::shown_version(parent);
+    body["gen"] = configuration::format_version(parent + 1 + random_() % 3);
+    body["parent"] = configuration::format_version(parent);
     const auto text = body.dump();
-    const auto judged = kind == ChangeKind::replace ? configuration::judge_replace(state_, text, nullptr)
-                                                    : configuration::judge_patch(state_, text, nullptr);
+    const auto judged = kind == ChangeKind::replace ? configuration::validate_replace(state_, text, nullptr)
+                                                    : configuration::validate_patch(state_, text, nullptr);
     BOOST_TEST(judged.status == (is_valid(next) ? 200 : 400), "seed " << seed_ << ": " << judged.why);
     const bool effect = configuration::apply(state_, kind, text);
     BOOST_TEST(effect == is_valid(next), "seed " << seed_);
@@ -147,11 +147,11 @@
     BOOST_TEST(configuration->version == state_.version());
     for (const auto& host : kHosts)
       for (const auto& prefix : kPrefixes) {
-        const auto* route = configuration->route(host, prefix + "x");
+        const auto* route = configuration->find_route(host, prefix + "x");
         const auto expected = route_of(model_, host, prefix + "x");
         BOOST_TEST((route ? route->name : "") == expected, "seed " << seed_ << ": " << host << prefix);
         if (!route || expected.empty()) continue;
-        const auto& service = configuration->services[route->parts.front().service].name;
+        const auto& service = configuration->services[route->targets.front().service].name;
         BOOST_TEST(service == model_.at(expected).service, "seed " << seed_ << ": " << expected);
       }
   }
--- a/tests/system/control_fleet.cpp
+++ b/tests/system/control_fleet.cpp
@@ -596,8 +596,8 @@
 }
 
 std::string configuration_body(std::uint64_t version, std::uint64_t parent, const std::string& service) {
-  return R"({"gen":")" + configuration::shown_version(version) + R"(","parent":")" +
-         configuration::shown_version(parent) +
+  return R"({"gen":")" + configuration::format_version(version) + R"(","parent":")" +
+         configuration::format_version(parent) +
          R"(","limits":{"hdr_bytes":16384},"accts":[{"name":"t1","apikeys":["k1"],"per_s":10,"burst":10}],)"
          R"("listeners":[{"vhost":"h.example","policy":[{"name":"r1","kind":"idempotent",)"
          R"("target_ms":500,"match":{"pfx":"/a/"},"action":{"svc":")" +
--- a/tests/system/control_operator.cpp
+++ b/tests/system/control_operator.cpp
@@ -164,7 +164,7 @@
   };
   fleet_.later(fleet_.drawn(0ms, 3ms), [this, at, read, then, task, retry] {
     const bool listens = fleet_.propose(
-        at, ChangeKind::nothing, "", [this, at, read, then, task, retry](int status, const auto& state) {
+        at, ChangeKind::noop, "", [this, at, read, then, task, retry](int status, const auto& state) {
           if (status != 200) return retry(fleet_.drawn(20ms, 200ms));
           records_.history.end_read(
               read, fleet_.now(),
--- a/tests/system/core_fleet.hpp
+++ b/tests/system/core_fleet.hpp
@@ -23,8 +23,8 @@
 
 inline std::string config_body(std::uint64_t version, std::uint64_t parent,
                                const std::string& service = "alpha") {
-  return R"({"gen":")" + configuration::shown_version(version) + R"(","parent":")" +
-         configuration::shown_version(parent) +
+  return R"({"gen":")" + configuration::format_version(version) + R"(","parent":")" +
+         configuration::format_version(parent) +
          R"(","limits":{"hdr_bytes":16384},"accts":[{"name":"t1","apikeys":["k1"],"per_s":10,)"
          R"("burst":10}],"listeners":[{"vhost":"h.example","policy":[{"name":"r1",)"
          R"("kind":"idempotent","target_ms":500,"match":{"pfx":"/a/"},"action":{"svc":")" +
@@ -34,7 +34,7 @@
 
 // An order as a registry makes it that knows of the changes up to `base`.
 inline std::string zone_order(const std::string& zone, std::uint64_t base) {
-  return configuration::encode(configuration::EvacuationOrder{zone, base});
+  return configuration::encode(configuration::EvacuationCommand{zone, base});
 }
 
 // What a store has on its disk: what is durable, and what was written after.
--- a/tests/system/disk_power_test.cpp
+++ b/tests/system/disk_power_test.cpp
@@ -40,7 +40,7 @@
     write.state->voters = {{"10.0.0.1", 77}};
     write.forget_log = number;
   } else {
-    write.log.push_back({number, {ChangeKind::nothing, text_of(number, random), "10.0.0.1", number}});
+    write.log.push_back({number, {ChangeKind::noop, text_of(number, random), "10.0.0.1", number}});
   }
   return write;
 }
--- a/tests/system/history_checker.cpp
+++ b/tests/system/history_checker.cpp
@@ -147,8 +147,8 @@
 std::string OperatorHistory::name(OrderId id) const {
   const auto& order = orders_[id];
   if (!order.is_configuration) return (order.evacuate ? "evacuation of " : "readmission of ") + order.zone;
-  return "version " + configuration::shown_version(order.version) + " on " +
-         configuration::shown_version(order.parent) + " (order " + std::to_string(id) + ")";
+  return "version " + configuration::format_version(order.version) + " on " +
+         configuration::format_version(order.parent) + " (order " + std::to_string(id) + ")";
 }
 
 std::vector<OperatorHistory::Outcome> OperatorHistory::outcomes() const {
@@ -228,7 +228,7 @@
     if (const auto order = order_read(read, all)) {
       required.insert(*order);
     } else {
-      violations.push_back("a read returned version " + configuration::shown_version(read.result.version) +
+      violations.push_back("a read returned version " + configuration::format_version(read.result.version) +
                            " with a content that nobody sent");
     }
   }
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(given_bodies_that_are_invalid_when_they_are_judged_then_they_get_400) {
   State s;
   nlohmann::json after;
-  BOOST_TEST(configuration::judge_replace(s, config_body(1, 0), &after).status == 200);
+  BOOST_TEST(configuration::validate_replace(s, config_body(1, 0), &after).status == 200);
   const auto with = [](const char* from, const char* to) {
     auto body = config_body(1, 0);
     const auto at = body.find(from);
@@ -92,8 +92,8 @@
         with(R"("tries":2)", R"("tries":0.5)"), with(R"("tries":2)", R"("tries":1e300)"),
         with(R"("policy":[)", R"("policy":[{"name":"r0","kind":"mutating","match":{"pfx":"/a/"},)"
                               R"("action":{"svc":"alpha","tmo_ms":9,"tries":1}},)")})
-    BOOST_TEST(configuration::judge_replace(s, body, nullptr).status == 400, body);
-  BOOST_TEST(configuration::judge_replace(s, config_body(4, 2), nullptr).status == 412);
+    BOOST_TEST(configuration::validate_replace(s, body, nullptr).status == 400, body);
+  BOOST_TEST(configuration::validate_replace(s, config_body(4, 2), nullptr).status == 412);
 }
 
 BOOST_AUTO_TEST_CASE(given_a_patch_when_it_is_taken_then_items_change_by_name_and_all_else_stays) {
@@ -113,9 +113,9 @@
   auto read = configuration::read(s.document);
   BOOST_REQUIRE(!failed(read));
   const auto& c = *value(read);
-  BOOST_TEST((c.route("other.example:80", "/b/x?y=1")->kind == configuration::Kind::mutating));
-  BOOST_TEST(c.route("h.example", "/a/x") == nullptr);
-  BOOST_TEST(c.tenant_of("k2")->name == "t2");
+  BOOST_TEST((c.find_route("other.example:80", "/b/x?y=1")->kind == configuration::RouteKind::mutating));
+  BOOST_TEST(c.find_route("h.example", "/a/x") == nullptr);
+  BOOST_TEST(c.find_tenant("k2")->name == "t2");
   const std::string removal =
       R"({"gen":"00000004","parent":"00000003","remove":{"routing":["r1"],"accts":["t2"],"svcs":["beta"]}})";
   BOOST_REQUIRE(configuration::apply(s, configuration::ChangeKind::patch, removal));
@@ -123,7 +123,7 @@
   BOOST_TEST(s.document["accts"].size() == 1u);
   // The same once more changes nothing; one that leaves a route without its service is refused.
   BOOST_TEST(!configuration::apply(s, configuration::ChangeKind::patch, removal));
-  BOOST_TEST(configuration::judge_patch(
+  BOOST_TEST(configuration::validate_patch(
                  s, R"({"gen":"00000009","parent":"00000004","remove":{"svcs":["alpha"]}})", nullptr)
                  .status == 400);
 }
@@ -135,10 +135,10 @@
   d["listeners"][0]["policy"].push_back(rule);
   auto read = configuration::read(d);
   BOOST_REQUIRE(!failed(read));
-  BOOST_TEST(value(read)->route("h.example", "/a/b/c")->name == "deep");
-  BOOST_TEST(value(read)->route("h.example", "/a/bc")->name == "r1");
-  BOOST_TEST(value(read)->route("h.example", "/b/") == nullptr);
-  BOOST_TEST(value(read)->route("x.example", "/a/") == nullptr);
+  BOOST_TEST(value(read)->find_route("h.example", "/a/b/c")->name == "deep");
+  BOOST_TEST(value(read)->find_route("h.example", "/a/bc")->name == "r1");
+  BOOST_TEST(value(read)->find_route("h.example", "/b/") == nullptr);
+  BOOST_TEST(value(read)->find_route("x.example", "/a/") == nullptr);
 }
 
 // Names of hosts are the same in upper and lower case.
@@ -149,8 +149,8 @@
   BOOST_REQUIRE(!failed(read));
   const auto prefix = document["listeners"][0]["policy"][0]["match"]["pfx"].get<std::string>();
   for (const auto* host : {"Gates.Example", "gates.example", "GATES.EXAMPLE:8080"})
-    BOOST_TEST((std::get<0>(read)->route(host, prefix + "x") != nullptr), host);
-  BOOST_TEST((std::get<0>(read)->route("gate.example", prefix + "x") == nullptr));
+    BOOST_TEST((std::get<0>(read)->find_route(host, prefix + "x") != nullptr), host);
+  BOOST_TEST((std::get<0>(read)->find_route("gate.example", prefix + "x") == nullptr));
   auto same_place = document;
   same_place["listeners"].push_back(document["listeners"][0]);
   same_place["listeners"][1]["vhost"] = "gates.example";
@@ -164,27 +164,27 @@
   for (std::uint64_t version = 1; version <= kVersions; ++version)
     BOOST_REQUIRE(
         configuration::apply(s, configuration::ChangeKind::replace, config_body(version, version - 1)));
-  const auto again = configuration::judge_replace(s, config_body(3, 2), nullptr);
+  const auto again = configuration::validate_replace(s, config_body(3, 2), nullptr);
   BOOST_TEST(again.status == 200);
-  BOOST_TEST(again.already);
+  BOOST_TEST(again.already_accepted);
   // The loser of a race has the same number; the same bytes as a patch are another order.
-  BOOST_TEST(configuration::judge_replace(s, config_body(3, 2, "beta"), nullptr).status == 412);
-  BOOST_TEST(configuration::judge_patch(s, config_body(3, 2), nullptr).status == 412);
+  BOOST_TEST(configuration::validate_replace(s, config_body(3, 2, "beta"), nullptr).status == 412);
+  BOOST_TEST(configuration::validate_patch(s, config_body(3, 2), nullptr).status == 412);
   // Never to be taken, whatever is current.
-  BOOST_TEST(configuration::judge_replace(s, config_body(kVersions, kVersions), nullptr).status == 400);
+  BOOST_TEST(configuration::validate_replace(s, config_body(kVersions, kVersions), nullptr).status == 400);
 }
 
 BOOST_AUTO_TEST_CASE(
     given_a_version_history_when_it_is_full_or_read_back_then_the_newest_versions_are_known) {
   configuration::VersionHistory history;
-  const auto most = configuration::VersionHistory::kMostVersions;
+  const auto most = configuration::VersionHistory::kMaxVersions;
   for (std::uint64_t version = 1; version <= most + 1; ++version)
     history.record(2 * version, {version, ~version});
   BOOST_TEST(history.size() == most);
-  BOOST_TEST(!history.holds(2, {1, ~std::uint64_t{1}}));
-  BOOST_TEST(history.holds(4, {2, ~std::uint64_t{2}}));
-  BOOST_TEST(!history.holds(4, {2, 2}));
-  BOOST_TEST(!history.holds(5, {2, ~std::uint64_t{2}}));
+  BOOST_TEST(!history.contains(2, {1, ~std::uint64_t{1}}));
+  BOOST_TEST(history.contains(4, {2, ~std::uint64_t{2}}));
+  BOOST_TEST(!history.contains(4, {2, 2}));
+  BOOST_TEST(!history.contains(5, {2, ~std::uint64_t{2}}));
   const auto bytes = history.encode();
   BOOST_TEST((configuration::VersionHistory::decode(bytes) == history));
   BOOST_TEST(!configuration::VersionHistory::decode(std::string_view(bytes).substr(1)).has_value());
@@ -194,14 +194,14 @@
   State s;
   using configuration::ChangeKind;
   BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_order("z", 0)));
-  BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::evacuate, zone_order("z", 0)).in_force);
-  BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::readmit, zone_order("z", 0)).status == 503);
+  BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::evacuate, zone_order("z", 0)).in_force);
+  BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::readmit, zone_order("z", 0)).status == 503);
   BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, zone_order("z", 0)));
   BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_order("y", 0)));  // each zone by itself
   BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 2)));
   BOOST_TEST(s.zone_changes.at("z") == 4u);
   for (const auto* text : {"", "z", "1 ", "x z", "-1 z"})
-    BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::evacuate, text).status == 400, text);
+    BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::evacuate, text).status == 400, text);
 }
 
 // An order that was given up by its caller may still lie in a store's queue when a newer one is acknowledged.
@@ -213,7 +213,7 @@
   const auto given_up = zone_order("z", 1);  // to readmit; held up
   BOOST_TEST(
       configuration::apply(s, ChangeKind::evacuate, zone_order("z", 1)));  // acknowledged: z is evacuated
-  BOOST_TEST(configuration::judge_evacuation(s, ChangeKind::readmit, given_up).status == 503);
+  BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::readmit, given_up).status == 503);
   BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, given_up));
   BOOST_TEST(s.evacuated == std::vector<std::string>{"z"}, boost::test_tools::per_element());
   BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 3)));  // a newer one has
@@ -355,25 +355,25 @@
 BOOST_AUTO_TEST_CASE(given_two_logs_when_they_differ_at_one_place_then_their_digests_differ_from_there_on) {
   State one, other;
   configuration::LogDigests digests;
-  digests.note(0, one.log_digest);
+  digests.record(0, one.log_digest);
   const auto same = [&](ChangeKind kind, const std::string& text) {
     configuration::apply(one, kind, text);
     configuration::apply(other, kind, text);
-    digests.note(one.position, one.log_digest);
+    digests.record(one.position, one.log_digest);
   };
   same(ChangeKind::replace, config_body(1, 0));
   BOOST_TEST(!digests.contradicts(other.position, other.log_digest));
-  configuration::apply(one, ChangeKind::nothing, "");
-  digests.note(one.position, one.log_digest);
+  configuration::apply(one, ChangeKind::noop, "");
+  digests.record(one.position, one.log_digest);
   configuration::apply(other, ChangeKind::evacuate, zone_order("z", 1));
   BOOST_TEST(digests.contradicts(other.position, other.log_digest));
   same(ChangeKind::replace, config_body(2, 1));
   BOOST_TEST(digests.contradicts(other.position, other.log_digest));
   // Nothing is said of places that are not known, and of a state of an earlier format.
   BOOST_TEST(!digests.contradicts(9, other.log_digest));
-  BOOST_TEST(!digests.contradicts(2, configuration::kDigestNotKnown));
-  BOOST_TEST(configuration::digest_after(configuration::kDigestNotKnown, 0, "x") ==
-             configuration::kDigestNotKnown);
+  BOOST_TEST(!digests.contradicts(2, configuration::kUnknownDigest));
+  BOOST_TEST(configuration::digest_after(configuration::kUnknownDigest, 0, "x") ==
+             configuration::kUnknownDigest);
   // Through a snapshot as well.
   const auto snapshot = transfer::decode(transfer::encode(one)->bytes);
   BOOST_REQUIRE(snapshot.has_value());
@@ -382,13 +382,13 @@
 
 BOOST_AUTO_TEST_CASE(given_many_places_when_digests_are_noted_then_the_last_ones_are_kept) {
   configuration::LogDigests digests;
-  constexpr std::uint64_t kMost = configuration::LogDigests::kMostPlaces;
-  for (std::uint64_t place = 1; place <= kMost + 5; ++place) digests.note(place, place + 100);
-  BOOST_TEST(digests.at(5) == configuration::kDigestNotKnown);
+  constexpr std::uint64_t kMost = configuration::LogDigests::kMaxDigests;
+  for (std::uint64_t place = 1; place <= kMost + 5; ++place) digests.record(place, place + 100);
+  BOOST_TEST(digests.at(5) == configuration::kUnknownDigest);
   BOOST_TEST(digests.at(6) == 106u);
   BOOST_TEST(digests.at(kMost + 5) == kMost + 105);
-  digests.note(9000, 7);  // by a snapshot
-  BOOST_TEST(digests.at(kMost + 5) == configuration::kDigestNotKnown);
+  digests.record(9000, 7);  // by a snapshot
+  BOOST_TEST(digests.at(kMost + 5) == configuration::kUnknownDigest);
   BOOST_TEST(digests.at(9000) == 7u);
 }
 
@@ -465,7 +465,7 @@
   BOOST_REQUIRE(k.destroyed.size() == 1);
   BOOST_TEST((k.destroyed[0] == configuration::Voter{"10.0.0.2", 5}));
   BOOST_TEST(k.state.membership == 2u);
-  BOOST_TEST(k.state.history.holds(1, {7, 70}));
+  BOOST_TEST(k.state.history.contains(1, {7, 70}));
   BOOST_TEST(k.state.zone_changes.at("z") == 3u);
   BOOST_TEST(k.promised.round == 9u);
   BOOST_REQUIRE(k.accepted.size() == 1);
--- a/tests/system/path_fleet.hpp
+++ b/tests/system/path_fleet.hpp
@@ -162,11 +162,11 @@
     r.start();
     doors.push_back(std::make_unique<http::Server>(
         io, *snowknot::endpoint_of(ctl(machine)), http::ServerLimits{},
-        dispatch({std::make_shared<EndingNode>(r), std::make_shared<Instances>(r),
-                  std::make_shared<Configurations>(r), std::make_shared<Evacuations>(r)})));
+        dispatch({std::make_shared<ShutdownHandler>(r), std::make_shared<InstanceHandler>(r),
+                  std::make_shared<ConfigurationHandler>(r), std::make_shared<EvacuationHandler>(r)})));
     doors.push_back(std::make_unique<http::Server>(io, *snowknot::endpoint_of(dir(machine)),
                                                    http::ServerLimits{},
-                                                   dispatch({std::make_shared<Directory>(r)})));
+                                                   dispatch({std::make_shared<ResolveHandler>(r)})));
   }
   void start_proxy(int machine) {
     proxies.push_back(std::make_unique<proxy::Proxy>(io, settings(machine, true, proxy_settings_)));
