--- a/src/system/configuration/configuration.cpp
+++ b/src/system/configuration/configuration.cpp
@@ -11,58 +11,60 @@
 
 using Json = nlohmann::json;
 
-// Thrown inside this file only: the first mistake of a document ends its reading.
-struct Mistake {
+// Thrown only inside this file: validation stops at the first invalid field.
+struct DocumentError {
   std::string field, what;
 };
 
-[[noreturn]] void wrong(const std::string& field, const std::string& what) { throw Mistake{field, what}; }
+[[noreturn]] void fail_field(const std::string& field, const std::string& what) {
+  throw DocumentError{field, what};
+}
 
-const Json& member(const Json& of, const char* key) {
+const Json& member_or_null(const Json& of, const char* key) {
   static const Json none;
   const auto it = of.find(key);
   return it == of.end() ? none : *it;
 }
 
-std::string text(const Json& of, const char* key) {
-  const auto& v = member(of, key);
-  if (!v.is_string() || v.get_ref<const std::string&>().empty()) wrong(key, "is no text");
+std::string required_string(const Json& of, const char* key) {
+  const auto& v = member_or_null(of, key);
+  if (!v.is_string() || v.get_ref<const std::string&>().empty()) fail_field(key, "is no text");
   return v.get<std::string>();
 }
 
-double amount(const Json& of, const char* key, double otherwise) {
-  const auto& v = member(of, key);
-  if (v.is_null()) return otherwise;
-  if (!v.is_number()) wrong(key, "is no number");
+double number_or(const Json& of, const char* key, double fallback) {
+  const auto& v = member_or_null(of, key);
+  if (v.is_null()) return fallback;
+  if (!v.is_number()) fail_field(key, "is no number");
   const double n = v.get<double>();
-  if (n < 0) wrong(key, "is below 0");
+  if (n < 0) fail_field(key, "is below 0");
   return n;
 }
 
-std::uint32_t count(const Json& of, const char* key, std::uint32_t otherwise) {
-  const double number = amount(of, key, otherwise);
-  if (number > std::numeric_limits<std::uint32_t>::max()) wrong(key, "is too large");
+std::uint32_t count_or(const Json& of, const char* key, std::uint32_t fallback) {
+  const double number = number_or(of, key, fallback);
+  if (number > std::numeric_limits<std::uint32_t>::max()) fail_field(key, "is too large");
   return static_cast<std::uint32_t>(number);
 }
 
-const Json& list(const Json& of, const char* key) {
+const Json& array_or_empty(const Json& of, const char* key) {
   static const Json empty = Json::array();
-  const auto& v = member(of, key);
+  const auto& v = member_or_null(of, key);
   if (v.is_null()) return empty;
-  if (!v.is_array()) wrong(key, "is no list");
+  if (!v.is_array()) fail_field(key, "is no list");
   return v;
 }
 
-std::vector<std::string> texts(const Json& of, const char* key) {
+std::vector<std::string> string_array(const Json& of, const char* key) {
   std::vector<std::string> out;
-  for (const auto& v : list(of, key)) {
-    if (!v.is_string()) wrong(key, "holds what is no text");
+  for (const auto& v : array_or_empty(of, key)) {
+    if (!v.is_string()) fail_field(key, "holds what is no text");
     out.push_back(v.get<std::string>());
   }
   return out;
 }
 
-// Names of hosts are the same in upper and lower case (RFC 3986, 3.2.2).
+// Host names are case-insensitive (RFC 3986, 3.2.2).
 std::string lower_case(std::string_view host) {
   constexpr char kToLower = 'a' - 'A';
   std::string lower(host);
@@ -72,11 +74,11 @@
 }
 
 RouteKind kind_of(const Json& rule) {
-  const auto name = text(rule, "kind");
+  const auto name = required_string(rule, "kind");
   if (name == "idempotent") return RouteKind::idempotent;
   if (name == "mutating") return RouteKind::mutating;
   if (name == "download") return RouteKind::download;
-  wrong("kind", "is not known: " + name);
+  fail_field("kind", "is not known: " + name);
 }
 
 }  // namespace
@@ -98,92 +100,93 @@
 }
 
 std::uint64_t State::version() const {
-  return document.is_object() ? parse_version(member(document, "gen")).value_or(0) : 0;
+  return document.is_object() ? parse_version(member_or_null(document, "gen")).value_or(0) : 0;
 }
 
 Result<std::shared_ptr<const Configuration>> read(const Json& document) {
   auto c = std::make_shared<Configuration>();
   try {
-    if (!document.is_object()) wrong("configuration", "is no object");
-    const auto version = parse_version(member(document, "gen"));
-    if (!version) wrong("gen", "is no version");
+    if (!document.is_object()) fail_field("configuration", "is no object");
+    const auto version = parse_version(member_or_null(document, "gen"));
+    if (!version) fail_field("gen", "is no version");
     c->version = *version;
-    if (const auto& l = member(document, "limits"); l.is_object()) {
-      c->limits.header_bytes = static_cast<std::size_t>(amount(l, "hdr_bytes", 16384));
-      c->limits.body_bytes = static_cast<std::size_t>(amount(l, "max_body_bytes", 64u << 20));
-      c->limits.header_ms = amount(l, "hdr_ms", 3000), c->limits.idle_ms = amount(l, "idle_ms", 15000);
+    if (const auto& l = member_or_null(document, "limits"); l.is_object()) {
+      c->limits.header_bytes = static_cast<std::size_t>(number_or(l, "hdr_bytes", 16384));
+      c->limits.body_bytes = static_cast<std::size_t>(number_or(l, "max_body_bytes", 64u << 20));
+      c->limits.header_ms = number_or(l, "hdr_ms", 3000), c->limits.idle_ms = number_or(l, "idle_ms", 15000);
     }
     tsl::robin_map<std::string, std::uint32_t> services;
-    for (const auto& s : list(document, "clusters")) {
+    for (const auto& s : array_or_empty(document, "clusters")) {
       Service one;
-      one.name = text(s, "name");
-      if (member(s, "hc_path").is_string()) one.health_path = text(s, "hc_path");
-      one.max_conns = count(s, "max_conns", 0);
-      one.warmup_s = amount(s, "warmup_s", 0), one.cold_per_s = amount(s, "cold_per_s", 0);
+      one.name = required_string(s, "name");
+      if (member_or_null(s, "hc_path").is_string()) one.health_path = required_string(s, "hc_path");
+      one.max_conns = count_or(s, "max_conns", 0);
+      one.warmup_s = number_or(s, "warmup_s", 0), one.cold_per_s = number_or(s, "cold_per_s", 0);
       if (!services.emplace(one.name, static_cast<std::uint32_t>(c->services.size())).second)
-        wrong("clusters", one.name + " stands there twice");
+        fail_field("clusters", one.name + " stands there twice");
       c->services.push_back(std::move(one));
     }
     const auto service = [&](const Json& of) {
-      const auto found = services.find(text(of, "svc"));
-      if (found == services.end()) wrong("svc", "names no service: " + text(of, "svc"));
+      const auto found = services.find(required_string(of, "svc"));
+      if (found == services.end()) fail_field("svc", "names no service: " + required_string(of, "svc"));
       return found->second;
     };
-    c->has_tenants_ = !list(document, "accts").empty();
-    for (const auto& t : list(document, "accts")) {
+    c->has_tenants_ = !array_or_empty(document, "accts").empty();
+    for (const auto& t : array_or_empty(document, "accts")) {
       Tenant one;
-      one.name = text(t, "name");
-      if (!member(t, "prio").is_null()) one.priority = count(t, "prio", 0);
-      one.per_s = amount(t, "per_s", 0), one.burst = amount(t, "burst", 0);
-      one.regions = texts(t, "pin_regions");
+      one.name = required_string(t, "name");
+      if (!member_or_null(t, "prio").is_null()) one.priority = count_or(t, "prio", 0);
+      one.per_s = number_or(t, "per_s", 0), one.burst = number_or(t, "burst", 0);
+      one.regions = string_array(t, "pin_regions");
       const auto index = static_cast<std::uint32_t>(c->tenants.size());
-      for (const auto& key : texts(t, "apikeys")) {
+      for (const auto& key : string_array(t, "apikeys")) {
         const auto [it, fresh] = c->by_key_.emplace(key, index);
-        if (!fresh && it->second != index) wrong("apikeys", "a key of " + one.name + " is another's too");
+        if (!fresh && it->second != index)
+          fail_field("apikeys", "a key of " + one.name + " is another's too");
       }
       c->tenants.push_back(std::move(one));
     }
     std::set<std::string> names;
-    std::set<std::pair<std::string, std::string>> places;  // host and prefix
-    for (const auto& l : list(document, "listeners")) {
-      const auto host = lower_case(text(l, "vhost"));
-      for (const auto& r : list(l, "policy")) {
+    std::set<std::pair<std::string, std::string>> host_prefixes;
+    for (const auto& l : array_or_empty(document, "listeners")) {
+      const auto host = lower_case(required_string(l, "vhost"));
+      for (const auto& r : array_or_empty(l, "policy")) {
         Route one;
-        one.name = text(r, "name"), one.host = host, one.kind = kind_of(r);
-        if (!names.insert(one.name).second) wrong("policy", one.name + " stands there twice");
-        one.prefix = text(member(r, "match"), "pfx");
+        one.name = required_string(r, "name"), one.host = host, one.kind = kind_of(r);
+        if (!names.insert(one.name).second) fail_field("policy", one.name + " stands there twice");
+        one.prefix = required_string(member_or_null(r, "match"), "pfx");
         if (one.prefix.front() != '/' || one.prefix.back() != '/')
-          wrong("pfx", "does not begin and end with a slash");
-        const auto& open = member(r, "public");
-        if (!open.is_null() && !open.is_boolean()) wrong("public", "is neither true nor false");
+          fail_field("pfx", "does not begin and end with a slash");
+        const auto& open = member_or_null(r, "public");
+        if (!open.is_null() && !open.is_boolean()) fail_field("public", "is neither true nor false");
         one.is_public = open.is_boolean() && open.get<bool>();
-        one.priority = count(r, "prio", 0);
-        one.target_ms = amount(r, "target_ms", 0);
-        const auto& action = member(r, "action");
-        if (!action.is_object()) wrong("action", "is missing for " + one.name);
-        one.timeout_ms = amount(action, "tmo_ms", 0);
-        if (one.timeout_ms <= 0) wrong("tmo_ms", "is missing or 0 for " + one.name);
-        one.tries = count(action, "tries", 1);
-        if (one.tries == 0) wrong("tries", "is 0 for " + one.name);
-        one.regions = texts(action, "pin_regions");
-        if (const auto& split = member(action, "split"); !split.is_null()) {
-          for (const auto& p : list(action, "split")) {
-            one.targets.push_back({service(p), amount(p, "wt", 0)});
+        one.priority = count_or(r, "prio", 0);
+        one.target_ms = number_or(r, "target_ms", 0);
+        const auto& action = member_or_null(r, "action");
+        if (!action.is_object()) fail_field("action", "is missing for " + one.name);
+        one.timeout_ms = number_or(action, "tmo_ms", 0);
+        if (one.timeout_ms <= 0) fail_field("tmo_ms", "is missing or 0 for " + one.name);
+        one.tries = count_or(action, "tries", 1);
+        if (one.tries == 0) fail_field("tries", "is 0 for " + one.name);
+        one.regions = string_array(action, "pin_regions");
+        if (const auto& split = member_or_null(action, "split"); !split.is_null()) {
+          for (const auto& p : array_or_empty(action, "split")) {
+            one.targets.push_back({service(p), number_or(p, "wt", 0)});
             one.total_weight += one.targets.back().weight;
           }
-          if (one.total_weight <= 0) wrong("wt", "sums to 0 for " + one.name);
+          if (one.total_weight <= 0) fail_field("wt", "sums to 0 for " + one.name);
         } else {
           one.targets.push_back({service(action), 1});
           one.total_weight = 1;
         }
-        if (!places.emplace(host, one.prefix).second)
-          wrong("pfx", "of " + one.name + " is another route's of the same host too");
+        if (!host_prefixes.emplace(host, one.prefix).second)
+          fail_field("pfx", "of " + one.name + " is another route's of the same host too");
         c->by_host_[host].push_back(static_cast<std::uint32_t>(c->routes.size()));
         c->routes.push_back(std::move(one));
       }
     }
-  } catch (const Mistake& m) {
-    return Failure{"read configuration", m.field, m.what};
+  } catch (const DocumentError& error) {
+    return Failure{"read configuration", error.field, error.what};
   } catch (const nlohmann::json::exception& x) {
     return Failure{"read configuration", "", x.what()};
   }
@@ -211,48 +214,48 @@
 
 namespace {
 
-ValidationResult refused(int status, std::string why) {
-  ValidationResult judgement;
-  judgement.status = status;
-  judgement.why = std::move(why);
-  return judgement;
-}
-
-// The version and base of a body against the state: 200 and `already` for a body that was taken, 200 if it can
-// be taken now.
-ValidationResult judge_version(const State& state, BodyOperation call, std::string_view bytes,
-                               const Json& body) {
-  if (!body.is_object()) return refused(400, "the body is no object");
-  const auto version = parse_version(member(body, "gen"));
-  if (!version) return refused(400, "gen is no version");
-  const auto parent = parse_version(member(body, "parent"));
-  if (!parent) return refused(400, "parent is no version");
-  if (*version <= *parent) return refused(400, "gen is not above the version that it builds on");
+ValidationResult rejected(int status, std::string why) {
+  ValidationResult result;
+  result.status = status;
+  result.why = std::move(why);
+  return result;
+}
+
+// Checks a body's version and parent against the state: 200 and `already_accepted` for a body that was
+// accepted before, plain 200 if it can be accepted now.
+ValidationResult validate_version(const State& state, BodyOperation operation, std::string_view bytes,
+                                  const Json& body) {
+  if (!body.is_object()) return rejected(400, "the body is no object");
+  const auto version = parse_version(member_or_null(body, "gen"));
+  if (!version) return rejected(400, "gen is no version");
+  const auto parent = parse_version(member_or_null(body, "parent"));
+  if (!parent) return rejected(400, "parent is no version");
+  if (*version <= *parent) return rejected(400, "gen is not above the version that it builds on");
   const auto current = state.version();
-  if (*version <= current && state.history.contains(*version, digest_of(call, bytes)))
+  if (*version <= current && state.history.contains(*version, digest_of(operation, bytes)))
     return {200, "", true, false};
   if (*parent != current)
-    return refused(
+    return rejected(
         412, "parent is " + format_version(*parent) + ", the current version " + format_version(current));
   return {};
 }
 
-std::optional<Json> parsed(std::string_view body) {
+std::optional<Json> parse_json(std::string_view body) {
   auto json = Json::parse(body, nullptr, false);
   if (json.is_discarded()) return std::nullopt;
   return json;
 }
 
-bool named(const Json& item, const std::string& name) {
-  return item.is_object() && member(item, "name") == name;
+bool has_name(const Json& item, const std::string& name) {
+  return item.is_object() && member_or_null(item, "name") == name;
 }
 
-// Items of a list, added or replaced by name.
+// Adds items to a list, or replaces those of the same name.
 void upsert(Json& into, const Json& items) {
   if (!into.is_array()) into = Json::array();
   for (const auto& item : items) {
-    const auto name = text(item, "name");
-    const auto it = std::ranges::find_if(into, [&](const Json& old) { return named(old, name); });
+    const auto name = required_string(item, "name");
+    const auto it = std::ranges::find_if(into, [&](const Json& old) { return has_name(old, name); });
     if (it != into.end()) {
       *it = item;
     } else {
@@ -261,12 +264,12 @@
   }
 }
 
-void drop_route(Json& listeners, const std::string& name) {
+void remove_route(Json& listeners, const std::string& name) {
   for (auto l = listeners.begin(); l != listeners.end();) {
     auto& rules = (*l)["policy"];
     if (rules.is_array()) {
-      const auto gone = std::ranges::find_if(rules, [&](const Json& r) { return named(r, name); });
-      if (gone != rules.end()) rules.erase(gone);
+      const auto removed = std::ranges::find_if(rules, [&](const Json& r) { return has_name(r, name); });
+      if (removed != rules.end()) rules.erase(removed);
     }
     l = rules.empty() ? listeners.erase(l) : std::next(l);
   }
@@ -275,20 +278,21 @@
 void upsert_routes(Json& listeners, const Json& changed) {
   if (!listeners.is_array()) listeners = Json::array();
   for (const auto& l : changed) {
-    const auto host = text(l, "vhost");
-    for (const auto& rule : list(l, "policy")) {
-      const auto name = text(rule, "name");
-      auto at = std::ranges::find_if(listeners, [&](const Json& o) { return member(o, "vhost") == host; });
+    const auto host = required_string(l, "vhost");
+    for (const auto& rule : array_or_empty(l, "policy")) {
+      const auto name = required_string(rule, "name");
+      auto at = std::ranges::find_if(listeners,
+                                     [&](const Json& o) { return member_or_null(o, "vhost") == host; });
       if (at != listeners.end()) {
         auto& rules = (*at)["policy"];
-        const auto old = std::ranges::find_if(rules, [&](const Json& r) { return named(r, name); });
+        const auto old = std::ranges::find_if(rules, [&](const Json& r) { return has_name(r, name); });
         if (old != rules.end()) {
           *old = rule;
           continue;
         }
       }
-      drop_route(listeners, name);  // it stood under another host
-      at = std::ranges::find_if(listeners, [&](const Json& o) { return member(o, "vhost") == host; });
+      remove_route(listeners, name);  // it may exist under another host
+      at = std::ranges::find_if(listeners, [&](const Json& o) { return member_or_null(o, "vhost") == host; });
       if (at == listeners.end()) {
         auto fresh = l;
         fresh["policy"] = Json::array();
@@ -300,10 +304,10 @@
   }
 }
 
-Json patched(const Json& old, const Json& patch) {
+Json apply_patch(const Json& old, const Json& patch) {
   Json next = old;
   next["gen"] = patch.at("gen"), next["parent"] = patch.at("parent");
-  if (const auto& set = member(patch, "upsert"); set.is_object()) {
+  if (const auto& set = member_or_null(patch, "upsert"); set.is_object()) {
     for (const auto& [key, items] : set.items()) {
       if (key == "listeners") {
         upsert_routes(next["listeners"], items);
@@ -314,31 +318,31 @@
       }
     }
   } else if (!set.is_null()) {
-    wrong("upsert", "is no object");
+    fail_field("upsert", "is no object");
   }
-  if (const auto& drop = member(patch, "remove"); drop.is_object()) {
+  if (const auto& drop = member_or_null(patch, "remove"); drop.is_object()) {
     for (const auto& [key, names] : drop.items()) {
-      if (!names.is_array()) wrong("remove", "holds what is no list");
+      if (!names.is_array()) fail_field("remove", "holds what is no list");
       for (const auto& name : names) {
-        if (!name.is_string()) wrong("remove", "holds what is no name");
+        if (!name.is_string()) fail_field("remove", "holds what is no name");
         if (key == "routing" || key == "listeners") {
-          if (next["listeners"].is_array()) drop_route(next["listeners"], name.get<std::string>());
+          if (next["listeners"].is_array()) remove_route(next["listeners"], name.get<std::string>());
         } else if (auto& all = next[key == "svcs" ? "clusters" : key]; all.is_array()) {
-          const auto gone = std::ranges::find_if(
-              all, [&](const Json& o) { return named(o, name.get<std::string>()); });
-          if (gone != all.end()) all.erase(gone);
+          const auto removed = std::ranges::find_if(
+              all, [&](const Json& o) { return has_name(o, name.get<std::string>()); });
+          if (removed != all.end()) all.erase(removed);
         }
       }
     }
   } else if (!drop.is_null()) {
-    wrong("remove", "is no object");
+    fail_field("remove", "is no object");
   }
   return next;
 }
 
-ValidationResult judge_document(Json&& document, Json* after) {
-  if (const auto read_back = read(document); failed(read_back))
-    return refused(400, failure(read_back).peer + " " + failure(read_back).what);
+ValidationResult validate_document(Json&& document, Json* after) {
+  if (const auto validated = read(document); failed(validated))
+    return rejected(400, failure(validated).peer + " " + failure(validated).what);
   if (after) *after = std::move(document);
   return {};
 }
@@ -346,25 +350,25 @@
 }  // namespace
 
 ValidationResult validate_replace(const State& state, std::string_view body, Json* after) {
-  auto json = parsed(body);
-  if (!json) return refused(400, "the body is not whole");
-  auto judged = judge_version(state, BodyOperation::replace, body, *json);
-  if (judged.status != 200 || judged.already_accepted) return judged;
-  return judge_document(std::move(*json), after);
+  auto json = parse_json(body);
+  if (!json) return rejected(400, "the body is not whole");
+  auto result = validate_version(state, BodyOperation::replace, body, *json);
+  if (result.status != 200 || result.already_accepted) return result;
+  return validate_document(std::move(*json), after);
 }
 
 ValidationResult validate_patch(const State& state, std::string_view body, Json* after) {
-  const auto json = parsed(body);
-  if (!json) return refused(400, "the body is not whole");
-  auto judged = judge_version(state, BodyOperation::patch, body, *json);
-  if (judged.status != 200 || judged.already_accepted) return judged;
-  if (!state.document.is_object()) return refused(412, "there is no configuration to change");
+  const auto json = parse_json(body);
+  if (!json) return rejected(400, "the body is not whole");
+  auto result = validate_version(state, BodyOperation::patch, body, *json);
+  if (result.status != 200 || result.already_accepted) return result;
+  if (!state.document.is_object()) return rejected(412, "there is no configuration to change");
   try {
-    return judge_document(patched(state.document, *json), after);
-  } catch (const Mistake& m) {
-    return refused(400, m.field + " " + m.what);
+    return validate_document(apply_patch(state.document, *json), after);
+  } catch (const DocumentError& error) {
+    return rejected(400, error.field + " " + error.what);
   } catch (const nlohmann::json::exception& x) {
-    return refused(400, x.what());
+    return rejected(400, x.what());
   }
 }
 
@@ -386,8 +390,8 @@
           {voter.at("address").get<std::string>(), voter.at("disk").get<std::uint64_t>()});
     if (change.voters.empty()) return std::nullopt;
     std::ranges::sort(change.voters);
-    const auto same_address = std::ranges::adjacent_find(change.voters, {}, &Voter::address);
-    if (same_address != change.voters.end()) return std::nullopt;
+    const auto duplicate_address = std::ranges::adjacent_find(change.voters, {}, &Voter::address);
+    if (duplicate_address != change.voters.end()) return std::nullopt;
     return change;
   } catch (const Json::exception&) {
     return std::nullopt;
@@ -407,28 +411,28 @@
 }  // namespace
 
 ValidationResult validate_evacuation(const State& state, ChangeKind kind, std::string_view text) {
-  const auto order = decode_evacuation(text);
-  if (!order) return refused(400, "the order names no zone");
-  const bool evacuated = std::ranges::binary_search(state.evacuated, order->zone);
-  const bool wanted = kind == ChangeKind::evacuate;
-  if (evacuated == wanted) return {200, "", false, true};
-  const auto changed = state.zone_changes.find(order->zone);
-  if (changed != state.zone_changes.end() && changed->second > order->base)
-    return refused(503, "a later order of this zone has taken effect");
+  const auto command = decode_evacuation(text);
+  if (!command) return rejected(400, "the order names no zone");
+  const bool evacuated = std::ranges::binary_search(state.evacuated, command->zone);
+  const bool evacuate = kind == ChangeKind::evacuate;
+  if (evacuated == evacuate) return {200, "", false, true};
+  const auto changed = state.zone_changes.find(command->zone);
+  if (changed != state.zone_changes.end() && changed->second > command->base)
+    return rejected(503, "a later order of this zone has taken effect");
   return {};
 }
 
 namespace {
 
-// At state.position, which is the order's own already. An order whose wish holds moves the zone on as well: an opposite
-// one from before that is still on its way has no effect after it.
+// Called once state.position is the command's own. A command whose desired state is already in effect still
+// updates zone_changes, so that an older opposite command that is still in flight has no effect after it.
 bool apply_evacuation(State& state, ChangeKind kind, const std::string& text) {
-  const auto judged = validate_evacuation(state, kind, text);
-  if (judged.status != 200) return false;
+  const auto result = validate_evacuation(state, kind, text);
+  if (result.status != 200) return false;
   const auto zone = decode_evacuation(text)->zone;
-  if (!judged.in_force && kind == ChangeKind::evacuate)
+  if (!result.already_in_effect && kind == ChangeKind::evacuate)
     state.evacuated.insert(std::ranges::lower_bound(state.evacuated, zone), zone);
-  if (!judged.in_force && kind == ChangeKind::readmit) std::erase(state.evacuated, zone);
+  if (!result.already_in_effect && kind == ChangeKind::readmit) std::erase(state.evacuated, zone);
   state.zone_changes[zone] = state.position;
   return true;
 }
@@ -442,12 +446,12 @@
     case ChangeKind::replace:
     case ChangeKind::patch: {
       Json after;
-      const auto call = kind == ChangeKind::replace ? BodyOperation::replace : BodyOperation::patch;
-      const auto judged = kind == ChangeKind::replace ? validate_replace(state, change, &after)
+      const auto operation = kind == ChangeKind::replace ? BodyOperation::replace : BodyOperation::patch;
+      const auto result = kind == ChangeKind::replace ? validate_replace(state, change, &after)
                                                       : validate_patch(state, change, &after);
-      if (judged.status != 200 || judged.already_accepted) return false;
+      if (result.status != 200 || result.already_accepted) return false;
       state.document = std::move(after);
-      state.history.record(state.version(), digest_of(call, change));
+      state.history.record(state.version(), digest_of(operation, change));
       return true;
     }
     case ChangeKind::evacuate:
--- a/src/system/configuration/evacuation_order.cpp
+++ b/src/system/configuration/evacuation_order.cpp
@@ -4,17 +4,19 @@
 
 namespace docklift::configuration {
 
-std::string encode(const EvacuationCommand& order) { return std::to_string(order.base) + " " + order.zone; }
+std::string encode(const EvacuationCommand& command) {
+  return std::to_string(command.base) + " " + command.zone;
+}
 
 std::optional<EvacuationCommand> decode_evacuation(std::string_view text) {
   const auto space = text.find(' ');
   if (space == std::string_view::npos || space + 1 == text.size()) return std::nullopt;
-  EvacuationCommand order;
+  EvacuationCommand command;
   const char* const end = text.data() + space;
-  const auto read = std::from_chars(text.data(), end, order.base);
+  const auto read = std::from_chars(text.data(), end, command.base);
   if (read.ec != std::errc{} || read.ptr != end) return std::nullopt;
-  order.zone = text.substr(space + 1);
-  return order;
+  command.zone = text.substr(space + 1);
+  return command;
 }
 
 }  // namespace docklift::configuration
--- a/src/system/configuration/log_digests.cpp
+++ b/src/system/configuration/log_digests.cpp
@@ -7,8 +7,9 @@
 
 std::uint64_t digest_after(std::uint64_t before, std::uint8_t kind, std::string_view text) {
   if (before == kUnknownDigest) return kUnknownDigest;
-  constexpr std::uint64_t kSpread = 0x9e3779b97f4a7c15ULL;  // so that no kind undoes a difference before
-  const std::uint64_t seed = before ^ ((std::uint64_t{kind} + 1) * kSpread);
+  // Spreads the kind over all bits, so that no kind cancels a difference in `before`.
+  constexpr std::uint64_t kKindMultiplier = 0x9e3779b97f4a7c15ULL;
+  const std::uint64_t seed = before ^ ((std::uint64_t{kind} + 1) * kKindMultiplier);
   const std::uint64_t digest = XXH3_64bits_withSeed(text.data(), text.size(), seed);
   return digest == kUnknownDigest ? kEmptyLogDigest : digest;
 }
--- a/src/system/configuration/log_digests.hpp
+++ b/src/system/configuration/log_digests.hpp
@@ -1,5 +1,6 @@
-// Digests of a log of changes, chained over its places: two logs have the same digest at a place only if they hold the
-// same changes up to it. Against lost disks and mistakes, not against forgery: links are inside the fleet. Pure.
+// Chained digests of the log of changes: two logs have the same digest at a position only if they hold the
+// same changes up to it. Detects lost disks and operator mistakes, not forgery: peers in the fleet are
+// trusted. Pure.
 #pragma once
 
 #include <cstdint>
@@ -8,21 +9,23 @@
 
 namespace docklift::configuration {
 
-inline constexpr std::uint64_t kUnknownDigest = 0;  // of a state that an earlier version has written
+inline constexpr std::uint64_t kUnknownDigest = 0;  // of a state written by a version without digests
 inline constexpr std::uint64_t kEmptyLogDigest = 1;
 
-// The digest after a change at the place after those that `before` covers; not known where that is not.
+// Extends the digest `before` by the change at the next position. Unknown if `before` is unknown.
 std::uint64_t digest_after(std::uint64_t before, std::uint8_t kind, std::string_view text);
 
-// Of the last places of one log.
+// The digests at the most recent positions of one log.
 class LogDigests {
  public:
   static constexpr std::size_t kMaxDigests = 1024;
 
-  // The place after the last one, or one that a snapshot has led to.
+  // `position` follows the last one recorded; after a snapshot, which may skip positions, earlier digests are
+  // discarded.
   void record(std::uint64_t position, std::uint64_t digest);
   std::uint64_t at(std::uint64_t position) const;
-  // Whether a log with this digest at a place holds other changes than this one. False where either is not known.
+  // Whether a log with this digest at this position holds different changes. False if either digest is
+  // unknown.
   bool contradicts(std::uint64_t position, std::uint64_t digest) const;
 
  private:
--- a/src/system/configuration/version_history.cpp
+++ b/src/system/configuration/version_history.cpp
@@ -28,29 +28,29 @@
 
 }  // namespace
 
-BodyDigest digest_of(BodyOperation call, std::string_view body) {
-  const auto seed = static_cast<XXH64_hash_t>(call);
+BodyDigest digest_of(BodyOperation operation, std::string_view body) {
+  const auto seed = static_cast<XXH64_hash_t>(operation);
   const XXH128_hash_t hash = XXH3_128bits_withSeed(body.data(), body.size(), seed);
   return {hash.high64, hash.low64};
 }
 
 void VersionHistory::record(std::uint64_t version, const BodyDigest& digest) {
-  taken_.push_back({version, digest});
-  if (taken_.size() > kMaxVersions) taken_.erase(taken_.begin());
+  accepted_.push_back({version, digest});
+  if (accepted_.size() > kMaxVersions) accepted_.erase(accepted_.begin());
 }
 
 bool VersionHistory::contains(std::uint64_t version, const BodyDigest& digest) const {
-  const auto found = std::ranges::lower_bound(taken_, version, {}, &AcceptedVersion::version);
-  return found != taken_.end() && found->version == version && found->digest == digest;
+  const auto found = std::ranges::lower_bound(accepted_, version, {}, &AcceptedVersion::version);
+  return found != accepted_.end() && found->version == version && found->digest == digest;
 }
 
 std::string VersionHistory::encode() const {
   std::string bytes;
-  bytes.reserve(taken_.size() * kEntryBytes);
-  for (const auto& taken : taken_) {
-    append_number(bytes, taken.version);
-    append_number(bytes, taken.digest.high);
-    append_number(bytes, taken.digest.low);
+  bytes.reserve(accepted_.size() * kEntryBytes);
+  for (const auto& entry : accepted_) {
+    append_number(bytes, entry.version);
+    append_number(bytes, entry.digest.high);
+    append_number(bytes, entry.digest.low);
   }
   return bytes;
 }
@@ -58,14 +58,14 @@
 std::optional<VersionHistory> VersionHistory::decode(std::string_view bytes) {
   if (bytes.size() % kEntryBytes != 0) return std::nullopt;
   VersionHistory history;
-  history.taken_.reserve(bytes.size() / kEntryBytes);
+  history.accepted_.reserve(bytes.size() / kEntryBytes);
   for (std::size_t offset = 0; offset < bytes.size(); offset += kEntryBytes) {
     const auto version = number_at(bytes, offset);
     const auto high = number_at(bytes, offset + kNumberBytes);
     const auto low = number_at(bytes, offset + 2 * kNumberBytes);
-    const bool rises = history.taken_.empty() || version > history.taken_.back().version;
-    if (!rises) return std::nullopt;
-    history.taken_.push_back({version, {high, low}});
+    const bool ascends = history.accepted_.empty() || version > history.accepted_.back().version;
+    if (!ascends) return std::nullopt;
+    history.accepted_.push_back({version, {high, low}});
   }
   return history;
 }
--- a/src/system/registry/handlers.cpp
+++ b/src/system/registry/handlers.cpp
@@ -7,35 +7,36 @@
 
 using Json = nlohmann::json;
 
-constexpr double kRetryAfterS = 0.2;  // told with a 503: about a round among far stores
+constexpr double kRetryAfterS = 0.2;  // sent with a 503: about one round trip between distant stores
 
-std::string body_of_error(const std::string& why) { return Json{{"err", why}}.dump(); }
+std::string error_body(const std::string& why) { return Json{{"err", why}}.dump(); }
 
-// What follows a prefix in a path that begins with it; none where it does not or nothing follows.
-std::optional<std::string> after(std::string_view path, std::string_view prefix) {
+// The rest of a path after a prefix; nothing if the path does not start with it or has no rest.
+std::optional<std::string> path_after(std::string_view path, std::string_view prefix) {
   if (!path.starts_with(prefix) || path.size() == prefix.size()) return std::nullopt;
   return std::string(path.substr(prefix.size()));
 }
 
 }  // namespace
 
-// That a server ends is acknowledged where it is sure to come to the proxies that are linked elsewhere.
-http::Answer InstanceHandler::acknowledge_end() const {
+// The end of a server is acknowledged only if it is certain to reach the proxies that are linked to other
+// registries.
+http::Answer InstanceHandler::acknowledge_departure() const {
   if (registry_.reaches_majority()) return {200, "{}"};
-  return {503, body_of_error("this node is cut off from the others"), kRetryAfterS};
+  return {503, error_body("this node is cut off from the others"), kRetryAfterS};
 }
 
 bool InstanceHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
   const Time now = registry_.now();
-  if (const auto id = after(call.path(), "/Instances.Leave/")) {
+  if (const auto id = path_after(call.path(), "/Instances.Leave/")) {
     fleet::Server s;
     if (const auto* known = registry_.servers().find(*id)) s = *known;
     s.id = *id, s.phase = fleet::Phase::GONE, s.heard = now;
-    registry_.heard(s);
-    respond(acknowledge_end());
+    registry_.on_server_update(s);
+    respond(acknowledge_departure());
     return true;
   }
-  const auto id = after(call.path(), "/Instances.Heartbeat/");
+  const auto id = path_after(call.path(), "/Instances.Heartbeat/");
   if (!id) return false;
   const auto body = Json::parse(call.body, nullptr, false);
   const auto text = [&](const char* key) { return body.value(key, std::string()); };
@@ -48,13 +49,13 @@
     const double cold = body.value("warm_left_ms", 0.0);
     s.cold_until = cold > 0 ? now + from_millis(cold) : Time{};
     if (s.service.empty() || failed(endpoint_of(s.address))) {
-      respond({400, body_of_error("svc or addr is missing")});
+      respond({400, error_body("svc or addr is missing")});
       return true;
     }
-    registry_.heard(s);
-    respond(s.phase == fleet::Phase::READY ? http::Answer{200, "{}"} : acknowledge_end());
+    registry_.on_server_update(s);
+    respond(s.phase == fleet::Phase::READY ? http::Answer{200, "{}"} : acknowledge_departure());
   } catch (const Json::exception& x) {
-    respond({400, body_of_error(x.what())});
+    respond({400, error_body(x.what())});
   }
   return true;
 }
@@ -62,16 +63,16 @@
 bool ConfigurationHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
   const auto path = call.path();
   if (path == "/Config.Read") {
-    // The newest that a majority knows of, also where this machine was cut off until now.
+    // The newest configuration that a majority knows of, even if this node was partitioned until now.
     registry_.propose(
         configuration::ChangeKind::noop, "",
         [this, respond](int status, const std::string& why, std::uint64_t at) {
-          if (status != 200) return respond({503, body_of_error(why), kRetryAfterS});
-          registry_.when_at(at, [this, respond](bool in_time) {
+          if (status != 200) return respond({503, error_body(why), kRetryAfterS});
+          registry_.when_applied(at, [this, respond](bool in_time) {
             const auto& document = registry_.changes().state().document;
             if (!in_time)
-              return respond({503, body_of_error("the changes have not come here yet"), kRetryAfterS});
-            if (document.is_null()) return respond({404, body_of_error("there is no configuration yet")});
+              return respond({503, error_body("the changes have not come here yet"), kRetryAfterS});
+            if (document.is_null()) return respond({404, error_body("there is no configuration yet")});
             respond({200, document.dump()});
           });
         });
@@ -82,57 +83,57 @@
   registry_.propose(
       replace ? configuration::ChangeKind::replace : configuration::ChangeKind::patch, call.body,
       [respond](int status, const std::string& why, std::uint64_t) {
-        respond({status, status == 200 ? "{}" : body_of_error(why), status == 503 ? kRetryAfterS : 0});
+        respond({status, status == 200 ? "{}" : error_body(why), status == 503 ? kRetryAfterS : 0});
       });
   return true;
 }
 
 bool EvacuationHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
-  const auto start = after(call.path(), "/Evac.Start/");
-  const auto stop = after(call.path(), "/Evac.Stop/");
+  const auto start = path_after(call.path(), "/Evac.Start/");
+  const auto stop = path_after(call.path(), "/Evac.Stop/");
   if (!start && !stop) return false;
-  const configuration::EvacuationCommand order{start ? *start : *stop, registry_.changes().position()};
-  if (!registry_.settings().zones.contains(order.zone)) {
-    respond({404, body_of_error("no zone of that name")});
+  const configuration::EvacuationCommand command{start ? *start : *stop, registry_.changes().position()};
+  if (!registry_.settings().zones.contains(command.zone)) {
+    respond({404, error_body("no zone of that name")});
     return true;
   }
   const auto kind = start ? configuration::ChangeKind::evacuate : configuration::ChangeKind::readmit;
   const auto answer = [respond](int status, const std::string& why, std::uint64_t) {
-    respond({status, status == 200 ? "{}" : body_of_error(why), status == 503 ? kRetryAfterS : 0});
+    respond({status, status == 200 ? "{}" : error_body(why), status == 503 ? kRetryAfterS : 0});
   };
-  registry_.propose(kind, configuration::encode(order), answer, call.caller_gone);
+  registry_.propose(kind, configuration::encode(command), answer, call.caller_gone);
   return true;
 }
 
 bool ResolveHandler::handle(const http::Call& call, const http::Server::Respond& respond) {
   if (call.path() != "/resolve") return false;
-  constexpr std::size_t kMost = 64;
+  constexpr std::size_t kMaxEndpoints = 64;
   constexpr int kTtlS = 2;
   const auto region = http::query_value(call.target, "rgn");
   const auto zone = http::query_value(call.target, "az");
-  std::vector<std::string> near;
-  std::vector<std::string> here;
+  std::vector<std::string> in_region;
+  std::vector<std::string> in_zone;
   std::vector<std::string> all;
   for (const auto& [id, n] : registry_.nodes().all()) {
     if (n.role != fleet::Role::PROXY || !n.ready || n.leaving) continue;
     all.push_back(n.address);
-    if (n.zone == zone) here.push_back(n.address);
-    if (registry_.settings().region_of(n.zone) == region) near.push_back(n.address);
+    if (n.zone == zone) in_zone.push_back(n.address);
+    if (registry_.settings().region_of(n.zone) == region) in_region.push_back(n.address);
   }
   if (all.empty() || !registry_.knows_members()) {
-    respond({503, body_of_error("no node is ready"), kRetryAfterS});
+    respond({503, error_body("no node is ready"), kRetryAfterS});
     return true;
   }
-  auto& given = near.empty() ? all : near;
-  if (given.size() > kMost) given = here.empty() ? given : here;
-  if (given.size() > kMost) given.resize(kMost);
-  respond({200, Json{{"endpoints", given}, {"ttl_s", kTtlS}}.dump()});
+  auto& endpoints = in_region.empty() ? all : in_region;
+  if (endpoints.size() > kMaxEndpoints) endpoints = in_zone.empty() ? endpoints : in_zone;
+  if (endpoints.size() > kMaxEndpoints) endpoints.resize(kMaxEndpoints);
+  respond({200, Json{{"endpoints", endpoints}, {"ttl_s", kTtlS}}.dump()});
   return true;
 }
 
 bool ShutdownHandler::handle(const http::Call&, const http::Server::Respond& respond) {
-  if (!registry_.ends()) return false;
-  respond({503, body_of_error("this node ends"), kRetryAfterS});
+  if (!registry_.stopping()) return false;
+  respond({503, error_body("this node ends"), kRetryAfterS});
   return true;
 }
 
@@ -142,9 +143,9 @@
       for (const auto& h : handlers)
         if (h->handle(call, respond)) return;
     } catch (const std::exception& x) {
-      return respond({500, body_of_error(x.what())});
+      return respond({500, error_body(x.what())});
     }
-    respond({404, body_of_error("no such call")});
+    respond({404, error_body("no such call")});
   };
 }
 
--- a/src/system/registry/handlers.hpp
+++ b/src/system/registry/handlers.hpp
@@ -1,4 +1,4 @@
-// The calls from outside, one handler object for each resource. Source: the operators' protocol page.
+// The registry's HTTP API, with one handler for each resource.
 #pragma once
 
 #include <map>
@@ -11,24 +11,27 @@
 
 namespace docklift {
 
+// Handles the requests to one resource.
 class Handler {
  public:
   virtual ~Handler() = default;
-  // False: the call is not this resource's.
+  // Returns false if the request is for another resource.
   virtual bool handle(const http::Call& call, const http::Server::Respond& respond) = 0;
 };
 
-class InstanceHandler : public Handler {  // servers' beats and leaves
+// Heartbeats and departures of servers.
+class InstanceHandler : public Handler {
  public:
   explicit InstanceHandler(Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
 
  private:
-  http::Answer acknowledge_end() const;
+  http::Answer acknowledge_departure() const;
   Registry& registry_;
 };
 
-class ConfigurationHandler : public Handler {  // replace, patch, read
+// Replaces, patches and reads the configuration.
+class ConfigurationHandler : public Handler {
  public:
   explicit ConfigurationHandler(Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
@@ -37,6 +40,7 @@
   Registry& registry_;
 };
 
+// Starts and stops evacuations of zones.
 class EvacuationHandler : public Handler {
  public:
   explicit EvacuationHandler(Registry& registry) : registry_(registry) {}
@@ -46,7 +50,8 @@
   Registry& registry_;
 };
 
-class ResolveHandler : public Handler {  // where clients go
+// Tells clients which proxies to use.
+class ResolveHandler : public Handler {
  public:
   explicit ResolveHandler(Registry& registry) : registry_(registry) {}
   bool handle(const http::Call& call, const http::Server::Respond& respond) override;
@@ -55,7 +60,8 @@
   Registry& registry_;
 };
 
-// Every call at a registry that ends: 503, so that the caller goes to another node. Stands ahead of the others.
+// Answers every request with 503 while the registry is stopping, so that the caller retries at another node.
+// Must precede the other handlers.
 class ShutdownHandler : public Handler {
  public:
   explicit ShutdownHandler(const Registry& registry) : registry_(registry) {}
@@ -65,7 +71,7 @@
   const Registry& registry_;
 };
 
-// Hands a call to the first handler that takes it, 404 otherwise; no handler may throw past it.
+// Passes a request to the first handler that accepts it; 404 if none does, 500 if a handler throws.
 http::Server::Handle dispatch(std::vector<std::shared_ptr<Handler>> handlers);
 
 }  // namespace docklift
--- a/src/system/registry/main.cpp
+++ b/src/system/registry/main.cpp
@@ -7,7 +7,7 @@
 int run(int argc, char** argv) {
   return run_program(
       {"docklift-registry",
-       "Knows which servers and nodes there are; takes the calls of servers, clients and the operator."},
+       "Tracks servers and nodes, and serves the HTTP API of servers, clients and the operator."},
       argc, argv, [](boost::asio::io_context& io, const SystemSettings& settings) {
         const Log log("registry");
         std::unique_ptr<RecordCache> record_cache;
@@ -22,11 +22,11 @@
         Registry registry(io, settings, std::move(record_cache));
         registry.start();
         const auto serve = [&](const char* name, std::vector<std::shared_ptr<Handler>> handlers) {
-          const auto at = settings.listen.find(name);
-          if (at == settings.listen.end()) return std::unique_ptr<http::Server>();
-          auto where = endpoint_of(at->second);
-          if (failed(where)) throw std::runtime_error(failure(where).shown());
-          return std::make_unique<http::Server>(io, value(where), http::ServerLimits{},
+          const auto address = settings.listen.find(name);
+          if (address == settings.listen.end()) return std::unique_ptr<http::Server>();
+          auto endpoint = endpoint_of(address->second);
+          if (failed(endpoint)) throw std::runtime_error(failure(endpoint).shown());
+          return std::make_unique<http::Server>(io, value(endpoint), http::ServerLimits{},
                                                 dispatch(std::move(handlers)));
         };
         const auto ctl = serve(
@@ -34,7 +34,7 @@
                     std::make_shared<ConfigurationHandler>(registry),
                     std::make_shared<EvacuationHandler>(registry)});
         const auto dir = serve("dir", {std::make_shared<ResolveHandler>(registry)});
-        if (!ctl && !dir) return log.error("read settings: neither listen.ctl nor listen.dir is told"), 2;
+        if (!ctl && !dir) return log.error("read settings: neither listen.ctl nor listen.dir is set"), 2;
         const Signals signals(
             io, [&] { registry.stop([&] { io.stop(); }); }, [](const SystemSettings&) {});
         io.run();
--- a/src/system/registry/registry.cpp
+++ b/src/system/registry/registry.cpp
@@ -11,15 +11,15 @@
 using fleet::Merged;
 
 constexpr Duration kTick = 100ms;
-constexpr std::uint64_t kBarrierTicks = 5;  // from one read barrier to the next
-constexpr std::uint64_t kFlushTicks = 4;    // what was heard again is told to the others so often
-constexpr std::uint64_t kSaveTicks = 10;    // and changed records are put on the disk
-constexpr std::uint64_t kDigestTicks = 50;  // and digests of all records
-constexpr double kSilentBeats = 4;          // beats that a server may miss
-constexpr Duration kKept = 60s;             // that a server is gone is remembered
-constexpr Duration kMembersRenew = 1s;      // after the first proxy has come all others have, too
-constexpr Duration kLastVerdicts = 250ms;   // from the call to end, for those of stores that are under way
-constexpr Duration kLastAnswers = 50ms;     // for what was answered to be written
+constexpr std::uint64_t kBarrierTicks = 5;     // between read barriers
+constexpr std::uint64_t kFlushTicks = 4;       // between gossip rounds of refreshed records
+constexpr std::uint64_t kSaveTicks = 10;       // between writes of changed records to the cache
+constexpr std::uint64_t kDigestTicks = 50;     // between gossip rounds of digests of all records
+constexpr double kMaxMissedHeartbeats = 4;     // before a server is considered unresponsive
+constexpr Duration kDepartedRetention = 60s;   // how long a departed server is remembered
+constexpr Duration kMembersRenewal = 1s;       // from the first proxy until all have reconnected
+constexpr Duration kStoreReplyGrace = 250ms;   // on stop, for replies of stores that are in flight
+constexpr Duration kResponseFlushTime = 50ms;  // for responses to be written out
 
 }  // namespace
 
@@ -33,7 +33,7 @@
       lease_(lease::Terms{}, settings.bind_ip, draw_life(), settings.bootstrap, clock_.now()),
       counts_({settings.bounds.quota_win_s, settings.bounds.quota_excess, settings.bounds.quota_slack}),
       record_cache_(std::move(record_cache)),
-      news_timer_(io.get_executor()),
+      update_timer_(io.get_executor()),
       timer_(io.get_executor()) {
   self_.id = settings.hostname, self_.zone = settings.zone, self_.address = settings.bind_ip;
   self_.role = fleet::Role::REGISTRY, self_.life = draw_life(), self_.ready = true;
@@ -52,7 +52,7 @@
   return addresses;
 }
 
-// Voters in reach, this machine among them if it is one.
+// Connected voters, including this node if it is one.
 std::vector<std::string> Registry::linked_voters() const {
   auto linked = voter_ips();
   std::erase_if(linked, [&](const std::string& ip) {
@@ -65,11 +65,11 @@
 bool Registry::reaches_majority() const { return linked_voters().size() >= voter_ips().size() / 2 + 1; }
 
 bool Registry::knows_members() const {
-  const bool proxies_renewed = first_proxy_at_ && clock_.now() - *first_proxy_at_ >= kMembersRenew;
-  return met_majority_ || merged_members_ || proxies_renewed;
+  const bool proxies_renewed = first_proxy_at_ && clock_.now() - *first_proxy_at_ >= kMembersRenewal;
+  return reached_majority_ || received_members_ || proxies_renewed;
 }
 
-// Every core machine that is known: voters, seeds, and registries that have told of themselves.
+// Every known core node: voters, seeds, and registries that have announced themselves.
 std::vector<std::string> Registry::core_ips() const {
   std::set<std::string> all;
   for (const auto& ip : voter_ips()) all.insert(ip);
@@ -163,7 +163,7 @@
       const auto p = proxies_.find(link.get());
       if (p == proxies_.end()) break;
       feed_.on_follow(p->second.changes, frame.getFollow());
-      bring_up_to_date(p->second);
+      send_changes(p->second);
       break;
     }
     case wire::Frame::SNAPSHOT_PART_REQUEST: {
@@ -180,7 +180,7 @@
     }
     case wire::Frame::RECORDS_REQUEST: {
       if (const auto p = proxies_.find(link.get()); p != proxies_.end())
-        tell_servers_that_differ(p->second, frame.getRecordsRequest().getDigests());
+        send_differing_servers(p->second, frame.getRecordsRequest().getDigests());
       break;
     }
     case wire::Frame::UNIT_REQUEST: {
@@ -202,7 +202,7 @@
   lease_.observe_term(node.term);
   if (node.role == fleet::Role::PROXY && !proxies_.contains(link.get())) {
     auto& p = proxies_[link.get()] = {link, node.id, {}, {}, false, false};
-    if (!hello.getRequestsRecords()) tell_servers_that_differ(p, {});
+    if (!hello.getRequestsRecords()) send_differing_servers(p, {});
     members_changed_ = true;
     if (!first_proxy_at_) first_proxy_at_ = now;
   }
@@ -212,7 +212,7 @@
   }
   const auto merged = nodes_.merge(node);
   if (merged == Merged::changed) members_changed_ = true, gossip({}, {node});
-  if (merged == Merged::heard) heard_nodes_[node.id] = node;
+  if (merged == Merged::heard) refreshed_nodes_[node.id] = node;
 }
 
 void Registry::on_lease_request(Link& link, wire::LeaseRequest::Reader request) {
@@ -241,7 +241,7 @@
   }
 }
 
-// ---- the counts ----------------------------------------------------------------------------------
+// ---- quota units ----------------------------------------------------------------------------------
 
 void Registry::on_unit_request(Proxy& p, wire::UnitRequest::Reader request) {
   const Time now = clock_.now();
@@ -250,7 +250,7 @@
   auto to = out.frame().initUnitGrants();
   to.setCall(request.getCall());
   const auto& c = changes_.configuration();
-  if (!lease_.holds(now) || !c) {  // where it stops from here on, its answer comes late and is void
+  if (!lease_.holds(now) || !c) {  // if the lease ends from here on, the reply arrives late and is discarded
     to.setRefused(true);
     return p.link->send(out.message());
   }
@@ -289,7 +289,7 @@
   });
 }
 
-// Takes up or lays down the counts as the lease comes and goes, and tells proxies who holds them.
+// Starts counting units when this node acquires the lease, and announces the lease holder to the proxies.
 void Registry::check_lease() {
   const Time now = clock_.now();
   if (lease_.holds(now) && counting_term_ != lease_.held_term()) {
@@ -297,15 +297,15 @@
     counts_.begin(now, lease_.held_first());
     log_.info("holds the counts, term " + std::to_string(counting_term_));
   }
-  if (lease_.term() == told_term_) return;
-  told_term_ = lease_.term();
+  if (lease_.term() == announced_term_) return;
+  announced_term_ = lease_.term();
   fleet::Outgoing out;
-  fill(out.frame().initFleet());
+  fill_fleet_header(out.frame().initFleet());
   const auto frame = std::make_shared<EncodedFrame>(out.message());
   for (auto& [link, p] : proxies_) p.link->send(frame);
 }
 
-// ---- time ----------------------------------------------------------------------------------------
+// ---- timers and shutdown --------------------------------------------------------------------------
 
 void Registry::tick() {
   timer_.expires_after(kTick);
@@ -337,36 +337,38 @@
 
 void Registry::keep_lease(Time now) {
   const auto linked = linked_voters();
-  if (reaches_majority()) met_majority_ = true;
+  if (reaches_majority()) reached_majority_ = true;
   lease_.observe_voters(now, {changes_.state().membership, voter_ips()}, confirmation_.at());
   if (const auto request = lease_.tick(now, draw_life() / 1'000'000, linked)) send_lease_request(*request);
   check_lease();
 }
 
-// Only who hears all others can tell a silent server from its own isolation.
+// Only a registry that is connected to all others can distinguish an unresponsive server from its own
+// isolation.
 void Registry::expire_servers(Time now) {
-  const bool alone = std::ranges::any_of(registries_, [](const auto& r) { return !r.second->up(); });
-  if (alone || alone_since_ == Time{}) alone_since_ = now;
-  const auto silence = from_millis(kSilentBeats * settings_.beat_ms);
-  auto lost = servers_.expire(now, now - alone_since_ > silence ? silence : Duration{}, kKept);
-  if (lost.empty()) return;
-  for (auto& s : lost) s.phase = fleet::Phase::GONE, log_.info("server " + s.id + " is silent");
-  tell_servers(lost);
+  const bool isolated = std::ranges::any_of(registries_, [](const auto& r) { return !r.second->up(); });
+  if (isolated || last_isolated_ == Time{}) last_isolated_ = now;
+  const auto server_timeout = from_millis(kMaxMissedHeartbeats * settings_.beat_ms);
+  auto expired = servers_.expire(now, now - last_isolated_ > server_timeout ? server_timeout : Duration{},
+                                 kDepartedRetention);
+  if (expired.empty()) return;
+  for (auto& s : expired) s.phase = fleet::Phase::GONE, log_.info("server " + s.id + " is silent");
+  queue_server_updates(expired);
 }
 
 void Registry::expire_members(Time now) {
-  const auto left = nodes_.expire(now, kLease);
-  for (const auto& n : left) log_.info("member " + n.id + " has not renewed");
-  if (!left.empty()) members_changed_ = true;
-  if (std::exchange(members_changed_, false)) tell_members();
+  const auto expired = nodes_.expire(now, kMemberLease);
+  for (const auto& n : expired) log_.info("member " + n.id + " has not renewed");
+  if (!expired.empty()) members_changed_ = true;
+  if (std::exchange(members_changed_, false)) update_members();
 }
 
-// Proposals that no store has answered, and calls that wait for a place in the log.
-void Registry::expire_calls(Time now) { end_calls(now, "no store has answered"); }
+// Fails proposals that no store has answered, and calls that wait for a log position.
+void Registry::expire_calls(Time now) { fail_expired_calls(now, "no store has answered"); }
 
-void Registry::end_calls(Time now, const std::string& why) {
+void Registry::fail_expired_calls(Time now, const std::string& why) {
   for (auto it = pending_.begin(); it != pending_.end();) {
-    if (now < it->second.until) {
+    if (now < it->second.deadline) {
       ++it;
       continue;
     }
@@ -374,13 +376,13 @@
     it = pending_.erase(it);
     done(503, why, 0);
   }
-  std::vector<std::function<void(bool)>> late;
-  std::erase_if(waiting_, [&](auto& w) {
+  std::vector<std::function<void(bool)>> timed_out;
+  std::erase_if(position_waiters_, [&](auto& w) {
     if (now < std::get<1>(w)) return false;
-    late.push_back(std::move(std::get<2>(w)));
+    timed_out.push_back(std::move(std::get<2>(w)));
     return true;
   });
-  for (const auto& done : late) done(false);
+  for (const auto& done : timed_out) done(false);
 }
 
 void Registry::stop(std::function<void()> ended) {
@@ -394,19 +396,19 @@
   if (const auto request = lease_.release(now, successor)) send_lease_request(*request);
   self_.leaving = true, self_.ready = false;
   flush();
-  news_timer_.cancel();
-  if (!server_news_.empty()) send_server_news();
+  update_timer_.cancel();
+  if (!server_updates_.empty()) send_server_updates();
   stopped_ = true;
-  timer_.expires_after(kLastVerdicts);
+  timer_.expires_after(kStoreReplyGrace);
   timer_.async_wait(lifetime_.bind([this, ended = std::move(ended)](boost::system::error_code) {
-    end_calls(Time::max(), "this node ends");
-    end(ended);
+    fail_expired_calls(Time::max(), "this node ends");
+    finish_stop(ended);
   }));
 }
 
-// When the last answers are written.
-void Registry::end(const std::function<void()>& ended) {
-  timer_.expires_after(kLastAnswers);
+// Closes all links once the last responses have been written.
+void Registry::finish_stop(const std::function<void()>& ended) {
+  timer_.expires_after(kResponseFlushTime);
   timer_.async_wait(lifetime_.bind([this, ended](boost::system::error_code) {
     listener_->close();
     for (auto& [ip, d] : registries_) d->stop();
--- a/src/system/registry/registry.hpp
+++ b/src/system/registry/registry.hpp
@@ -1,5 +1,6 @@
-// A registry on sockets: what it knows of servers, members and the configuration, and whom it tells. The
-// calls from outside are the handlers' (handlers.hpp).
+// The registry on its sockets: keeps the records of servers and members and a copy of the configuration,
+// exchanges them with stores and other registries, and sends them to proxies. HTTP requests are served by the
+// handlers (handlers.hpp).
 #pragma once
 
 #include <deque>
@@ -27,18 +28,19 @@
 
 namespace docklift {
 
+// One registry node. Runs on the io_context's thread.
 class Registry {
  public:
-  // `record_cache`: where records outlive a restart; may be null.
+  // `record_cache` keeps server records across restarts; may be null.
   Registry(boost::asio::io_context& io, const SystemSettings& settings,
            std::unique_ptr<RecordCache> record_cache);
-  ~Registry();  // ends all links
+  ~Registry();  // closes all links
   void start();
-  // Names a successor for the counts, tells others, and calls `ended` when that is out and each call that was taken has
-  // its answer. Once.
+  // Releases the lease to a successor, announces the departure, and calls `ended` once when both have been
+  // sent and every accepted request has been answered.
   void stop(std::function<void()> ended);
-  // stop() was called: no call is to be begun here any more.
-  bool ends() const { return stopped_; }
+  // Whether stop() was called: no new request may be started.
+  bool stopping() const { return stopped_; }
 
   // ---- for the handlers
   const SystemSettings& settings() const { return settings_; }
@@ -46,43 +48,48 @@
   const fleet::Servers& servers() const { return servers_; }
   const fleet::Nodes& nodes() const { return nodes_; }
   Time now() const { return clock_.now(); }
-  // A majority's word has come in this life: what is here of the configuration may be handed on.
+  // Whether a majority has confirmed the copy of the configuration since the start: only then may it be sent
+  // on.
   bool confirmed_once() const { return confirmation_.at().has_value(); }
-  // Links to a majority of the core's registries stand: what is told here comes to all proxies in touch.
+  // Whether a majority of the voters' registries is connected: updates sent from here then reach every proxy
+  // that is connected to the core.
   bool reaches_majority() const;
-  // The fleet's members are known well enough for clients to be sent to them.
+  // Whether the fleet's members are known well enough to direct clients to them.
   bool knows_members() const;
-  void heard(const fleet::Server& server);  // a beat or a leave
-  // `done` with the verdict's status, its reason and position; 503 where no store answers in time.
+  // Merges a server's heartbeat or departure and forwards what changed.
+  void on_server_update(const fleet::Server& server);
+  // Receives the verdict's status, reason and log position; 503 if no store answers in time.
   using Done = std::function<void(int status, const std::string& why, std::uint64_t position)>;
-  // `caller_gone` (may be null): whether the caller has closed its connection. An evacuation order is not sent to
-  // a store, nor to a further one, once its caller is known to have gone or must have gone on to another node.
+  // Proposes a change to the stores. `caller_gone` (may be null) tells whether the caller has closed its
+  // connection. An evacuation command is not sent or resent to a store once its caller has disconnected or
+  // must have retried at another node.
   void propose(configuration::ChangeKind kind, const std::string& text, Done done,
                std::shared_ptr<const bool> caller_gone = nullptr);
-  // `done` when the configuration here is at least at that position, or (false) when it takes too long.
-  void when_at(std::uint64_t position, std::function<void(bool)> done);
+  // Calls `done(true)` once the configuration here has reached the position, `done(false)` if that takes too
+  // long.
+  void when_applied(std::uint64_t position, std::function<void(bool)> done);
 
  private:
-  static constexpr Duration kLease = std::chrono::milliseconds(
-      2500);                                  // a member that has not renewed is none
-  static constexpr std::size_t kRanges = 64;  // of ids, for digests
+  // Members that have not renewed for this long are dropped.
+  static constexpr Duration kMemberLease = std::chrono::milliseconds(2500);
+  static constexpr std::size_t kDigestRanges = 64;  // of server ids, for gossip
 
   struct Proxy {
     std::shared_ptr<Link> link;
     std::string id;
     transfer::ChangeFeed::Follower changes{};
     fleet::ConfirmRequests confirm_requests;
-    bool asked_to_confirm = false;
-    bool knows_members = false;  // was told all of them
+    bool confirm_requested = false;
+    bool members_sent = false;  // has received the complete membership
   };
-  struct Pending {
+  struct PendingProposal {
     configuration::ChangeKind kind{};
     std::string text;
     Done done;
-    Time until{};
-    std::string store;  // to which it was sent; empty: to none yet
-    Time since{};
-    std::shared_ptr<const bool> caller_gone;  // null: not known
+    Time deadline{};
+    std::string store;  // ip of the store it was sent to; empty: not sent
+    Time received_at{};
+    std::shared_ptr<const bool> caller_gone;  // null: unknown
   };
   void accepted(const std::shared_ptr<Link>& link);
   void on_frame(const std::shared_ptr<Link>& link, wire::Frame::Reader frame);
@@ -92,8 +99,8 @@
   void on_peer_frame(const std::string& ip, wire::Frame::Reader frame);
   void on_gossip(wire::Gossip::Reader g, const std::shared_ptr<Link>& answer_on);
   void on_unit_request(Proxy& p, wire::UnitRequest::Reader request);
-  void after_news(fleet::ChangeLog::News news);
-  void bring_up_to_date(Proxy& proxy);
+  void on_update_applied(fleet::ChangeLog::News update);
+  void send_changes(Proxy& proxy);
   void send_to_store(const std::string& ip, fleet::Outgoing& out);
   void dial(const std::string& ip);
   void dial_all();
@@ -103,19 +110,19 @@
   void send_hello(Link& link);
   void send_all_records(Link& link);
   void begin_read_barrier();
-  void end_read_barrier(Time begun, std::uint64_t position);
+  void end_read_barrier(Time started, std::uint64_t position);
   void on_confirm(Proxy& p, std::uint64_t token);
-  void send_pending(std::uint64_t call, Pending& p);
-  bool is_abandoned(const Pending& p) const;
-  void tell_servers(const std::vector<fleet::Server>& changed);
-  void tell_servers_that_differ(Proxy& p, capnp::List<std::uint64_t>::Reader digests);
-  void send_server_news();
-  void tell_members();
+  void send_pending(std::uint64_t call, PendingProposal& p);
+  bool is_abandoned(const PendingProposal& p) const;
+  void queue_server_updates(const std::vector<fleet::Server>& changed);
+  void send_differing_servers(Proxy& p, capnp::List<std::uint64_t>::Reader digests);
+  void send_server_updates();
+  void update_members();
   void send_member_change(const fleet::MemberChange& change);
   void send_all_members();
-  void bring_proxies_up_to_date();
+  void send_changes_to_proxies();
   void on_first_confirmation();
-  void fill(wire::Fleet::Builder to);
+  void fill_fleet_header(wire::Fleet::Builder to);
   void gossip(const std::vector<fleet::Server>& servers, const std::vector<fleet::Node>& nodes);
   void send_lease_request(const lease::Request& request);
   void check_lease();
@@ -125,8 +132,8 @@
   void expire_servers(Time now);
   void expire_members(Time now);
   void expire_calls(Time now);
-  void end_calls(Time now, const std::string& why);  // those whose time is up
-  void end(const std::function<void()>& ended);
+  void fail_expired_calls(Time now, const std::string& why);
+  void finish_stop(const std::function<void()>& ended);
   void gossip_digests();
   void flush();
   void save_records();
@@ -134,7 +141,7 @@
   std::vector<std::string> core_ips() const;
   std::vector<std::string> voter_ips() const;
   std::vector<std::string> linked_voters() const;
-  // A frame, filled by `fill`, to all registries that are linked.
+  // Sends a frame, filled by `fill`, to all connected registries.
   template <class Fill>
   void to_registries(Fill fill) {
     fleet::Outgoing out;
@@ -148,35 +155,37 @@
   SystemSettings settings_;
   snowknot::Clock clock_;
   Log log_;
-  Time alone_since_{};
+  Time last_isolated_{};  // last time at which a registry was not connected
   std::unique_ptr<LinkListener> listener_;
   std::map<std::string, std::shared_ptr<Dialer>> registries_, stores_;  // by ip
-  std::map<Link*, std::string> peers_;                                  // registries that dialled
+  std::map<Link*, std::string> peers_;  // registries that connected to this one, by link
   std::map<Link*, Proxy> proxies_;
   fleet::Servers servers_;
   fleet::Nodes nodes_;
-  std::map<std::string, fleet::Server> heard_servers_;  // to be gossiped with the next flush
-  std::map<std::string, fleet::Node> heard_nodes_;
-  std::set<std::string> retold_;  // servers whose next beat proxies must know, as their zone was taken back
-  transfer::ChangeFollower follower_;  // of the stores
+  // Records that were renewed without a change; gossiped with the next flush.
+  std::map<std::string, fleet::Server> refreshed_servers_;
+  std::map<std::string, fleet::Node> refreshed_nodes_;
+  // Servers of readmitted zones: their next heartbeat is sent to the proxies even if it changes nothing.
+  std::set<std::string> resend_on_heartbeat_;
+  transfer::ChangeFollower follower_;  // of the stores' log
   const fleet::ChangeLog& changes_ = follower_.changes();
-  transfer::ChangeFeed feed_;  // of the proxies
+  transfer::ChangeFeed feed_;  // to the proxies
   fleet::Confirmation confirmation_;
-  bool met_majority_ = false, merged_members_ = false;
-  std::optional<Time> first_proxy_at_;  // in this life
+  bool reached_majority_ = false, received_members_ = false;
+  std::optional<Time> first_proxy_at_;  // since the start
   lease::HolderLease lease_;
   counts::Counts counts_;
   std::uint64_t counting_term_ = 0;
-  std::uint64_t told_term_ = 0;
+  std::uint64_t announced_term_ = 0;
   bool members_changed_ = false, servers_changed_ = false;
-  fleet::ToldMembers told_proxies_;
-  std::vector<std::string> told_registries_;
-  std::map<std::string, fleet::Server> server_news_;  // by id, to be told to the proxies
+  fleet::ToldMembers announced_proxies_;
+  std::vector<std::string> announced_registries_;
+  std::map<std::string, fleet::Server> server_updates_;  // by id, to be sent to the proxies
   std::unique_ptr<RecordCache> record_cache_;
-  std::map<std::uint64_t, Pending> pending_;
-  std::uint64_t calls_ = 0;
-  std::vector<std::tuple<std::uint64_t, Time, std::function<void(bool)>>> waiting_;
-  Timer news_timer_, timer_;
+  std::map<std::uint64_t, PendingProposal> pending_;
+  std::uint64_t last_call_ = 0;
+  std::vector<std::tuple<std::uint64_t, Time, std::function<void(bool)>>> position_waiters_;
+  Timer update_timer_, timer_;
   std::uint64_t ticks_ = 0;
   fleet::Node self_;
   bool stopped_ = false;
--- a/src/system/registry/registry_changes.cpp
+++ b/src/system/registry/registry_changes.cpp
@@ -1,5 +1,5 @@
-// A registry's part in the configuration: the changes that stores tell, proposals and read barriers, and what
-// proxies have of them.
+// How a registry handles the configuration: following the stores' changes, forwarding proposals, read
+// barriers, and feeding the proxies.
 #include <algorithm>
 
 #include "system/registry/registry.hpp"
@@ -7,15 +7,15 @@
 namespace docklift {
 namespace {
 using namespace std::chrono_literals;
-constexpr Duration kCallerPatience = 1s;  // of silence; then a caller goes on to another node
-constexpr Duration kProposal = 5500ms;    // a change without a verdict
+constexpr Duration kCallerTimeout = 1s;        // a caller without an answer then retries at another node
+constexpr Duration kProposalTimeout = 5500ms;  // for a change without a verdict
 }  // namespace
 
 void Registry::on_store_frame(const std::string& ip, wire::Frame::Reader frame) {
   if (stopped_ && frame.which() != wire::Frame::VERDICT) return;
   switch (frame.which()) {
     case wire::Frame::CHANGES:
-    case wire::Frame::SNAPSHOT_PART: after_news(follower_.on_frame(clock_.now(), ip, frame)); break;
+    case wire::Frame::SNAPSHOT_PART: on_update_applied(follower_.on_frame(clock_.now(), ip, frame)); break;
     case wire::Frame::VERDICT: {
       const auto v = frame.getVerdict();
       auto call = pending_.extract(v.getCall());
@@ -31,87 +31,89 @@
   if (store != stores_.end() && store->second->up()) store->second->link()->send(out.message());
 }
 
-// A store may have come back with a copy that is old: nothing of it is handed on before a majority's word.
-void Registry::bring_up_to_date(Proxy& proxy) {
+// A store may have restarted with a stale copy: nothing is forwarded before a majority has confirmed it.
+void Registry::send_changes(Proxy& proxy) {
   if (!confirmed_once()) return;
   fleet::Outgoing out;
   if (feed_.next(clock_.now(), proxy.changes, changes_, out)) proxy.link->send(out.message());
 }
 
-void Registry::after_news(fleet::ChangeLog::News news) {
-  if (news != fleet::ChangeLog::News::taken) return;
+void Registry::on_update_applied(fleet::ChangeLog::News update) {
+  if (update != fleet::ChangeLog::News::taken) return;
   const bool was_confirmed = confirmed_once();
   confirmation_.advanced(changes_.position());
   if (!was_confirmed && confirmed_once()) {
     on_first_confirmation();
   } else {
-    bring_proxies_up_to_date();
+    send_changes_to_proxies();
   }
   for (const auto& zone : changes_.readmitted())
     for (const auto& [id, s] : servers_.all())
-      if (s.zone == zone) retold_.insert(id);
+      if (s.zone == zone) resend_on_heartbeat_.insert(id);
   dial_all();
-  for (auto it = waiting_.begin(); it != waiting_.end();) {
+  for (auto it = position_waiters_.begin(); it != position_waiters_.end();) {
     if (std::get<0>(*it) > changes_.position()) {
       ++it;
       continue;
     }
     const auto done = std::move(std::get<2>(*it));
-    it = waiting_.erase(it);
+    it = position_waiters_.erase(it);
     done(true);
   }
 }
 
-// From here on the copy is handed to proxies.
+// From here on the copy is sent to proxies.
 void Registry::on_first_confirmation() {
   log_.info("change " + std::to_string(changes_.position()) + " is confirmed as the newest of the core");
-  bring_proxies_up_to_date();
+  send_changes_to_proxies();
 }
 
-void Registry::bring_proxies_up_to_date() {
-  for (auto& [link, p] : proxies_) bring_up_to_date(p);
+void Registry::send_changes_to_proxies() {
+  for (auto& [link, p] : proxies_) send_changes(p);
 }
 
-void Registry::when_at(std::uint64_t position, std::function<void(bool)> done) {
+void Registry::when_applied(std::uint64_t position, std::function<void(bool)> done) {
   if (changes_.position() >= position) return done(true);
-  waiting_.emplace_back(position, clock_.now() + 800ms, std::move(done));
+  position_waiters_.emplace_back(position, clock_.now() + 800ms, std::move(done));
 }
 
 void Registry::propose(configuration::ChangeKind kind, const std::string& text, Done done,
                        std::shared_ptr<const bool> caller_gone) {
-  const auto call = ++calls_;
+  const auto call = ++last_call_;
   const Time now = clock_.now();
-  auto& p = pending_[call] = {kind, text, std::move(done), now + kProposal, "", now, std::move(caller_gone)};
+  auto& p = pending_[call] = {kind, text, std::move(done),       now + kProposalTimeout,
+                              "",   now,  std::move(caller_gone)};
   send_pending(call, p);
 }
 
-// A configuration builds on one version and can be taken only once, whenever it is sent. An evacuation order has
-// only the position at which it arrived, so it is not sent on behalf of a caller who no longer waits here.
-bool Registry::is_abandoned(const Pending& p) const {
+// A configuration names its parent version and can be accepted only once, no matter when it is sent. An
+// evacuation command carries only the position at which it arrived, so it is not sent for a caller that no
+// longer waits here.
+bool Registry::is_abandoned(const PendingProposal& p) const {
   using configuration::ChangeKind;
   if (p.kind != ChangeKind::evacuate && p.kind != ChangeKind::readmit) return false;
-  const bool gone = p.caller_gone && *p.caller_gone;
-  return gone || clock_.now() - p.since > kCallerPatience;
+  const bool disconnected = p.caller_gone && *p.caller_gone;
+  return disconnected || clock_.now() - p.received_at > kCallerTimeout;
 }
 
-// A read barrier at a store: a majority states, after the store has got the question, what it has accepted.
+// A read barrier at a store: after the store receives the request, a majority reports what it has accepted.
 void Registry::begin_read_barrier() {
-  const Time begun = clock_.now();
-  confirmation_.asked(begun, changes_.position());
+  const Time started = clock_.now();
+  confirmation_.asked(started, changes_.position());
   propose(configuration::ChangeKind::noop, "",
-          [this, begun](int status, const std::string&, std::uint64_t position) {
-            if (status == 200) end_read_barrier(begun, position);
+          [this, started](int status, const std::string&, std::uint64_t position) {
+            if (status == 200) end_read_barrier(started, position);
           });
 }
 
-void Registry::end_read_barrier(Time begun, std::uint64_t position) {
+void Registry::end_read_barrier(Time started, std::uint64_t position) {
   follower_.on_core_at(clock_.now(), position);
   const bool was_confirmed = confirmed_once();
-  if (!confirmation_.answered(begun, position, changes_.position()))
+  if (!confirmation_.answered(started, position, changes_.position()))
     return follower_.on_core_behind(position);
   if (!was_confirmed && confirmed_once()) on_first_confirmation();
   for (auto& [link, p] : proxies_) {
-    const auto token = p.confirm_requests.answerable(begun);
+    const auto token = p.confirm_requests.answerable(started);
     if (!token) continue;
     fleet::Outgoing out;
     auto confirmed = out.frame().initConfirmed();
@@ -120,16 +122,16 @@
   }
 }
 
-// A proxy asks as of when its configuration is the newest: answered by the next read barrier.
+// A proxy asks as of which moment its configuration is the newest; the next read barrier answers.
 void Registry::on_confirm(Proxy& p, std::uint64_t token) {
   p.confirm_requests.received(clock_.now(), token);
-  if (!std::exchange(p.asked_to_confirm, true)) begin_read_barrier();
+  if (!std::exchange(p.confirm_requested, true)) begin_read_barrier();
 }
 
-// To the store on this machine, or to another one while that is not up.
-void Registry::send_pending(std::uint64_t call, Pending& p) {
+// Sends to the store on this node, or to another one while that is not connected.
+void Registry::send_pending(std::uint64_t call, PendingProposal& p) {
   if (is_abandoned(p)) {
-    p.until = Time{};  // the next tick answers it with 503
+    p.deadline = Time{};  // the next tick responds with 503
     return;
   }
   auto to = stores_.find(settings_.bind_ip);
--- a/src/system/registry/registry_records.cpp
+++ b/src/system/registry/registry_records.cpp
@@ -1,5 +1,5 @@
-// A registry's records of servers and members: what it hears, what it tells other registries and proxies, and what
-// outlives a restart.
+// How a registry handles the records of servers and members: receiving them, exchanging them with other
+// registries, sending them to proxies, and caching them across restarts.
 #include <capnp/serialize.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr Duration kNewsDelay = 20ms;
+constexpr Duration kUpdateBatchDelay = 20ms;
 
 void put(capnp::List<capnp::Text>::Builder to, const auto& texts) {
   unsigned i = 0;
@@ -22,16 +22,16 @@
 
 using fleet::Merged;
 
-void Registry::heard(const fleet::Server& server) {
+void Registry::on_server_update(const fleet::Server& server) {
   const auto merged = servers_.merge(server);
   const auto* s = servers_.find(server.id);
   if (!s) return;
   if (merged == Merged::changed) {
     gossip({*s}, {});
-    tell_servers({*s});
+    queue_server_updates({*s});
   } else if (merged == Merged::heard) {
-    heard_servers_[s->id] = *s;
-    if (retold_.erase(s->id) > 0) tell_servers({*s});
+    refreshed_servers_[s->id] = *s;
+    if (resend_on_heartbeat_.erase(s->id) > 0) queue_server_updates({*s});
   }
 }
 
@@ -41,23 +41,23 @@
   for (const auto r : g.getServers()) {
     const auto s = fleet::get(r, now);
     const auto merged = servers_.merge(s);
-    if (merged == Merged::changed || (merged == Merged::heard && retold_.erase(s.id) > 0))
+    if (merged == Merged::changed || (merged == Merged::heard && resend_on_heartbeat_.erase(s.id) > 0))
       if (const auto* known = servers_.find(s.id)) changed.push_back(*known);
   }
   for (const auto r : g.getNodes()) {
     const auto n = fleet::get(r, now);
-    if (n.role == fleet::Role::PROXY) merged_members_ = true;
-    if (now - n.heard <= kLease && nodes_.merge(n) == Merged::changed) {
+    if (n.role == fleet::Role::PROXY) received_members_ = true;
+    if (now - n.heard <= kMemberLease && nodes_.merge(n) == Merged::changed) {
       members_changed_ = true;
       if (n.role == fleet::Role::REGISTRY) dial(n.address);
     }
   }
-  if (!changed.empty()) tell_servers(changed);
-  if (const auto digests = g.getDigests(); digests.size() == kRanges && answer_on) {
-    const auto own = servers_.digests(kRanges);
+  if (!changed.empty()) queue_server_updates(changed);
+  if (const auto digests = g.getDigests(); digests.size() == kDigestRanges && answer_on) {
+    const auto own = servers_.digests(kDigestRanges);
     std::vector<const fleet::Server*> differ;
     for (const auto& [id, s] : servers_.all())
-      if (const auto range = fleet::Servers::range_of(id, kRanges);
+      if (const auto range = fleet::Servers::range_of(id, kDigestRanges);
           !s.from_cache && own[range] != digests[static_cast<unsigned>(range)])
         differ.push_back(&s);
     if (differ.empty()) return;
@@ -79,16 +79,16 @@
   });
 }
 
-// To a registry: all that was heard. What only the cache tells may be long gone.
+// Sends a registry all received records. Records known only from the cache may be out of date.
 void Registry::send_all_records(Link& link) {
   fleet::Outgoing out;
   auto g = out.frame().initGossip();
-  std::vector<const fleet::Server*> heard;
+  std::vector<const fleet::Server*> received;
   for (const auto& [id, s] : servers_.all())
-    if (!s.from_cache) heard.push_back(&s);
-  auto servers = g.initServers(static_cast<unsigned>(heard.size()));
+    if (!s.from_cache) received.push_back(&s);
+  auto servers = g.initServers(static_cast<unsigned>(received.size()));
   unsigned i = 0;
-  for (const auto* s : heard) fleet::put(servers[i++], *s, clock_.now());
+  for (const auto* s : received) fleet::put(servers[i++], *s, clock_.now());
   auto nodes = g.initNodes(static_cast<unsigned>(nodes_.all().size()));
   i = 0;
   for (const auto& [id, n] : nodes_.all()) fleet::put(nodes[i++], n, clock_.now());
@@ -97,47 +97,48 @@
 
 void Registry::gossip_digests() {
   to_registries([&](wire::Frame::Builder& frame) {
-    const auto digests = servers_.digests(kRanges);
+    const auto digests = servers_.digests(kDigestRanges);
     auto list = frame.initGossip().initDigests(static_cast<unsigned>(digests.size()));
     for (unsigned i = 0; i < list.size(); ++i) list.set(i, digests[i]);
   });
 }
 
-// ---- what proxies are told -----------------------------------------------------------------------
+// ---- updates to proxies ----------------------------------------------------------------------------
 
-void Registry::fill(wire::Fleet::Builder to) {
+void Registry::fill_fleet_header(wire::Fleet::Builder to) {
   to.setHolder(lease_.holder());
   to.setTerm(lease_.term());
   to.setPosition(confirmed_once() ? changes_.position() : 0);
 }
 
-// What changes within kNewsDelay goes out as one message.
-void Registry::tell_servers(const std::vector<fleet::Server>& changed) {
+// Updates within kUpdateBatchDelay are sent as one message.
+void Registry::queue_server_updates(const std::vector<fleet::Server>& changed) {
   servers_changed_ = true;
-  const bool due = !server_news_.empty();
-  for (const auto& server : changed) server_news_.insert_or_assign(server.id, server);
-  if (due || server_news_.empty()) return;
-  news_timer_.expires_after(kNewsDelay);
-  news_timer_.async_wait(lifetime_.bind([this](boost::system::error_code failed_wait) {
-    if (!failed_wait) send_server_news();
+  const bool scheduled = !server_updates_.empty();
+  for (const auto& server : changed) server_updates_.insert_or_assign(server.id, server);
+  if (scheduled || server_updates_.empty()) return;
+  update_timer_.expires_after(kUpdateBatchDelay);
+  update_timer_.async_wait(lifetime_.bind([this](boost::system::error_code failed_wait) {
+    if (!failed_wait) send_server_updates();
   }));
 }
 
-void Registry::send_server_news() {
+void Registry::send_server_updates() {
   const Time now = clock_.now();
-  const auto news = std::exchange(server_news_, {});
+  const auto updates = std::exchange(server_updates_, {});
   fleet::Outgoing out;
   auto f = out.frame().initFleet();
-  fill(f);
-  auto list = f.initServers(static_cast<unsigned>(news.size()));
+  fill_fleet_header(f);
+  auto list = f.initServers(static_cast<unsigned>(updates.size()));
   unsigned i = 0;
-  for (const auto& [id, server] : news) fleet::put(list[i++], server, now);
+  for (const auto& [id, server] : updates) fleet::put(list[i++], server, now);
   const auto frame = std::make_shared<EncodedFrame>(out.message());
   for (auto& [link, p] : proxies_) p.link->send(frame);
 }
 
-// All servers of the ranges in which what is known here differs from `digests`; of all where these are none.
-void Registry::tell_servers_that_differ(Proxy& p, capnp::List<std::uint64_t>::Reader digests) {
+// Sends all servers of the ranges whose digests here differ from `digests`; of all ranges if there are no
+// digests.
+void Registry::send_differing_servers(Proxy& p, capnp::List<std::uint64_t>::Reader digests) {
   fleet::RecordDigests own;
   for (const auto& [id, s] : servers_.all())
     if (s.phase != fleet::Phase::GONE) own.toggle(id, s.address, s.phase);
@@ -146,19 +147,19 @@
     return digests.size() != fleet::kRecordRanges ||
            own.all()[range] != digests[static_cast<unsigned>(range)];
   };
-  std::vector<const fleet::Server*> told;
+  std::vector<const fleet::Server*> differing;
   for (const auto& [id, s] : servers_.all())
-    if (differs(id)) told.push_back(&s);
+    if (differs(id)) differing.push_back(&s);
   fleet::Outgoing out;
   auto f = out.frame().initFleet();
-  fill(f);
+  fill_fleet_header(f);
   f.setComplete(true);
-  auto list = f.initServers(static_cast<unsigned>(told.size()));
-  for (unsigned i = 0; i < list.size(); ++i) fleet::put(list[i], *told[i], clock_.now());
+  auto list = f.initServers(static_cast<unsigned>(differing.size()));
+  for (unsigned i = 0; i < list.size(); ++i) fleet::put(list[i], *differing[i], clock_.now());
   p.link->send(out.message());
 }
 
-void Registry::tell_members() {
+void Registry::update_members() {
   std::set<std::string> proxies;
   std::vector<std::string> registries{settings_.bind_ip};
   for (const auto& [id, n] : nodes_.all()) {
@@ -166,8 +167,8 @@
     if (n.role == fleet::Role::REGISTRY && !n.leaving && n.address != settings_.bind_ip)
       registries.push_back(n.address);
   }
-  const auto change = told_proxies_.update(std::move(proxies));
-  const bool registries_changed = std::exchange(told_registries_, registries) != registries;
+  const auto change = announced_proxies_.update(std::move(proxies));
+  const bool registries_changed = std::exchange(announced_registries_, registries) != registries;
   if (!change.empty() || registries_changed) send_member_change(change);
   send_all_members();
 }
@@ -175,30 +176,30 @@
 void Registry::send_member_change(const fleet::MemberChange& change) {
   fleet::Outgoing out;
   auto f = out.frame().initFleet();
-  fill(f);
+  fill_fleet_header(f);
   put(f.initProxiesJoined(static_cast<unsigned>(change.joined.size())), change.joined);
   put(f.initProxiesLeft(static_cast<unsigned>(change.left.size())), change.left);
-  put(f.initRegistries(static_cast<unsigned>(told_registries_.size())), told_registries_);
+  put(f.initRegistries(static_cast<unsigned>(announced_registries_.size())), announced_registries_);
   const auto frame = std::make_shared<EncodedFrame>(out.message());
   for (auto& [link, p] : proxies_)
-    if (p.knows_members) p.link->send(frame);
+    if (p.members_sent) p.link->send(frame);
 }
 
-// To those that have not been told yet.
+// Sends the complete membership to proxies that have not received it yet.
 void Registry::send_all_members() {
-  if (std::ranges::all_of(proxies_, [](const auto& p) { return p.second.knows_members; })) return;
+  if (std::ranges::all_of(proxies_, [](const auto& p) { return p.second.members_sent; })) return;
   fleet::Outgoing out;
   auto f = out.frame().initFleet();
-  fill(f);
-  put(f.initProxies(static_cast<unsigned>(told_proxies_.all().size())), told_proxies_.all());
-  put(f.initRegistries(static_cast<unsigned>(told_registries_.size())), told_registries_);
+  fill_fleet_header(f);
+  put(f.initProxies(static_cast<unsigned>(announced_proxies_.all().size())), announced_proxies_.all());
+  put(f.initRegistries(static_cast<unsigned>(announced_registries_.size())), announced_registries_);
   const auto frame = std::make_shared<EncodedFrame>(out.message());
   for (auto& [link, p] : proxies_)
-    if (!std::exchange(p.knows_members, true)) p.link->send(frame);
+    if (!std::exchange(p.members_sent, true)) p.link->send(frame);
 }
 
-// Servers as they are known now, for this registry's next life. Their beats come anew within seconds; until
-// then these are tried.
+// Caches the known servers for the next start. Heartbeats refresh them within seconds; until then the cached
+// records are used.
 void Registry::save_records() {
   if (!record_cache_ || !std::exchange(servers_changed_, false)) return;
   fleet::Outgoing out;
@@ -223,17 +224,17 @@
       servers_.merge(s);
     }
   } catch (const kj::Exception& x) {
-    log_.warn(std::string("the record cache is passed over: ") + x.getDescription().cStr());
+    log_.warn(std::string("ignoring the record cache: ") + x.getDescription().cStr());
   }
-  log_.info(std::to_string(servers_.all().size()) + " servers are known from before");
+  log_.info(std::to_string(servers_.all().size()) + " servers loaded from the record cache");
 }
 
 void Registry::flush() {
   std::vector<fleet::Server> servers;
   std::vector<fleet::Node> nodes;
-  for (auto& [id, s] : heard_servers_) servers.push_back(std::move(s));
-  for (auto& [id, n] : heard_nodes_) nodes.push_back(std::move(n));
-  heard_servers_.clear(), heard_nodes_.clear();
+  for (auto& [id, s] : refreshed_servers_) servers.push_back(std::move(s));
+  for (auto& [id, n] : refreshed_nodes_) nodes.push_back(std::move(n));
+  refreshed_servers_.clear(), refreshed_nodes_.clear();
   self_.stamp++, self_.heard = clock_.now();
   nodes_.merge(self_);
   nodes.push_back(self_);
--- a/src/system/store/main.cpp
+++ b/src/system/store/main.cpp
@@ -24,7 +24,7 @@
                        auto kept = value(disk)->read();
                        if (failed(kept) && !value(disk)->is_damaged())
                          return log.error(failure(kept).shown()), 1;
-                       if (failed(kept)) {  // a store whose disk was lost reads the others' memory
+                       if (failed(kept)) {  // a store that lost its disk recovers its state from the others
                          log.error(failure(kept).shown() + "; it is set aside");
                          value(disk).reset();
                          disk = Disk::begin_anew(folder);
--- a/src/system/store/store.cpp
+++ b/src/system/store/store.cpp
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 constexpr Duration kTick = 50ms;
-constexpr Duration kLastWords = 100ms;      // what was sent is out of the process by then
-constexpr std::size_t kWritesWaiting = 64;  // behind a disk that hangs; then nothing more is taken in
+constexpr Duration kSendGrace = 100ms;        // for the last messages to be sent
+constexpr std::size_t kMaxQueuedWrites = 64;  // behind an unresponsive disk; then input is dropped
 
-std::uint64_t drawn() { return (std::uint64_t(std::random_device{}()) << 32) | std::random_device{}(); }
+std::uint64_t random_u64() { return (std::uint64_t(std::random_device{}()) << 32) | std::random_device{}(); }
 
 agreement::Options options_of(const SystemSettings& s, std::vector<std::string> lost_voters) {
   agreement::Options o;
@@ -21,17 +21,18 @@
   o.bootstrap = s.bootstrap, o.votes = s.voting;
   o.tolerated = s.tolerate_nodes;
   o.lost_voters = std::move(lost_voters);
-  o.chance = drawn();
-  // With the time of day: no earlier disk of this machine has the same.
-  o.new_disk = std::max<std::uint64_t>(mix(drawn() ^ draw_life()), configuration::kBootstrapDisk + 1);
+  o.chance = random_u64();
+  // Mixed with the time of day, so that no earlier disk of this machine has the same identity.
+  o.new_disk = std::max<std::uint64_t>(mix(random_u64() ^ draw_life()), configuration::kBootstrapDisk + 1);
   return o;
 }
 
 }  // namespace
 
-std::vector<fleet::Entry> ReplicaChanges::entries_after(std::uint64_t place, std::size_t batch_bytes) const {
+std::vector<fleet::Entry> ReplicaChanges::entries_after(std::uint64_t position,
+                                                        std::size_t batch_bytes) const {
   std::vector<fleet::Entry> entries;
-  for (const auto& chosen : replica_.recent().after(place, batch_bytes))
+  for (const auto& chosen : replica_.recent().after(position, batch_bytes))
     entries.push_back({chosen.slot, fleet::change_of(chosen.change.kind), chosen.change.text});
   return entries;
 }
@@ -51,7 +52,7 @@
   const auto port = static_cast<std::uint16_t>(settings_.first_port + kStorePort);
   listener_ = std::make_unique<LinkListener>(io_, Tcp::endpoint(ip, port), LinkLimits{},
                                              [this](const std::shared_ptr<Link>& link) { accepted(link); });
-  carry_out(replica_.start(clock_.now()));
+  execute(replica_.start(clock_.now()));
   dial_others();
   tick();
 }
@@ -66,7 +67,7 @@
   for (auto& [ip, dialer] : stores_) dialer->stop();
 }
 
-// The process ends, and starts again as one whose disk was lost. On the disk's thread.
+// Ends the process; it restarts as a store that has lost its disk. Called on the disk's thread.
 void Store::on_disk_lost(const Failure& why) {
   log_.error(why.shown() + "; it is set aside");
   boost::asio::post(io_, lifetime_.bind([this] {
@@ -81,7 +82,7 @@
   dial_others();
 }
 
-// Every store dials every other one; what it says goes out on that link.
+// Every store connects to every other one and sends its messages on that link.
 void Store::dial_others() {
   std::set<std::string> needed;
   for (const auto& voter : replica_.state().voters) needed.insert(voter.address);
@@ -95,12 +96,12 @@
                            static_cast<std::uint16_t>(settings_.first_port + kStorePort));
     const auto dialer = std::make_shared<Dialer>(
         io_, to, LinkLimits{},
-        [this, ip](wire::Frame::Reader frame) {  // answers may come back on the same link
+        [this, ip](wire::Frame::Reader frame) {  // responses may arrive on the same link
           if (stopped_) return;
           if (frame.isSnapshotPart()) on_snapshot_part(ip, frame.getSnapshotPart());
           if (!frame.isAgreement()) return;
           if (const auto envelope = agreement::decode(fleet::text_of(frame.getAgreement())))
-            carry_out(replica_.receive(clock_.now(), ip, *envelope));
+            execute(replica_.receive(clock_.now(), ip, *envelope));
         },
         [this, ip](const std::shared_ptr<Link>& link) {
           fleet::Outgoing hello;
@@ -112,7 +113,7 @@
         },
         [this, ip](const Failure& why) {
           replica_.unlinked(ip);
-          carry_out(receiver_.on_source_lost(clock_.now(), ip));
+          execute(receiver_.on_source_lost(clock_.now(), ip));
           log_.debug(why.shown());
         });
     stores_[ip] = dialer;
@@ -120,7 +121,7 @@
   }
 }
 
-// A machine that was replaced is not dialled for ever; it dials on its own if it comes back.
+// Stops connecting to machines that were replaced; such a machine connects on its own if it returns.
 void Store::drop_unreachable(const std::set<std::string>& needed) {
   for (auto it = stores_.begin(); it != stores_.end();) {
     if (needed.contains(it->first) || it->second->up()) {
@@ -139,11 +140,11 @@
         if (const auto l = weak.lock()) on_frame(l, frame);
       },
       [this, weak](const Failure&) {
-        if (const auto l = weak.lock()) ended(l);
+        if (const auto l = weak.lock()) on_link_closed(l);
       });
 }
 
-void Store::ended(const std::shared_ptr<Link>& link) {
+void Store::on_link_closed(const std::shared_ptr<Link>& link) {
   peers_.erase(link.get());
   registries_.erase(link.get());
 }
@@ -169,9 +170,9 @@
     }
     case wire::Frame::AGREEMENT: {
       const auto from = peers_.find(link.get());
-      if (from == peers_.end() || disk_.waiting() > kWritesWaiting) break;
+      if (from == peers_.end() || disk_.waiting() > kMaxQueuedWrites) break;
       if (const auto envelope = agreement::decode(fleet::text_of(frame.getAgreement())))
-        carry_out(replica_.receive(now, from->second, *envelope));
+        execute(replica_.receive(now, from->second, *envelope));
       break;
     }
     case wire::Frame::SNAPSHOT_PART: {
@@ -183,7 +184,7 @@
       const auto r = registries_.find(link.get());
       if (r == registries_.end()) break;
       feed_.on_follow(r->second.changes, frame.getFollow());
-      bring_up_to_date(r->second);
+      send_changes(r->second);
       break;
     }
     case wire::Frame::SNAPSHOT_PART_REQUEST: {
@@ -197,38 +198,38 @@
       const auto p = frame.getProposal();
       const auto id = ++proposals_;
       calls_[id] = {link, p.getCall()};
-      carry_out(replica_.propose(now, id, fleet::kind_of(p.getChange()), fleet::text_of(p.getText())));
+      execute(replica_.propose(now, id, fleet::kind_of(p.getChange()), fleet::text_of(p.getText())));
       break;
     }
     default: break;
   }
 }
 
-// Everything that is said waits until all that was to be durable before it is.
-void Store::carry_out(agreement::Out out) {
+// Holds back messages and responses until every durable write issued so far has completed.
+void Store::execute(agreement::Out out) {
   for (const auto& note : out.notes) log_.info(note);
-  for (const auto& send_now : std::exchange(out.immediate, {})) send(send_now.to, send_now.envelope);
+  for (const auto& message : std::exchange(out.immediate, {})) send(message.to, message.envelope);
   if (!out.chosen.empty() || out.snapshot) {
     receiver_.on_position(replica_.state().position);
     for (const auto& c : out.chosen)
       log_.info("change " + std::to_string(c.slot) + " is in force, version " +
                 configuration::format_version(replica_.state().version()));
-    for (auto& [link, r] : registries_) bring_up_to_date(r);
+    for (auto& [link, r] : registries_) send_changes(r);
     dial_others();
   }
-  const bool waits = out.write.durable || writes_out_ > 0;
-  if (out.write.empty() && !waits) return release(out);
+  const bool must_wait = out.write.durable || writes_in_flight_ > 0;
+  if (out.write.empty() && !must_wait) return release(out);
   auto write = std::move(out.write);
   out.write = {};
-  if (!waits) {
+  if (!must_wait) {
     disk_.write(std::move(write), [] {});
     return release(out);
   }
-  ++writes_out_;
-  const auto later = std::make_shared<agreement::Out>(std::move(out));
-  auto written = lifetime_.bind([this, later] {
-    --writes_out_;
-    if (!stopped_) release(*later);
+  ++writes_in_flight_;
+  const auto held = std::make_shared<agreement::Out>(std::move(out));
+  auto written = lifetime_.bind([this, held] {
+    --writes_in_flight_;
+    if (!stopped_) release(*held);
   });
   disk_.write(std::move(write),
               [&io = io_, written]() mutable { boost::asio::post(io, std::move(written)); });
@@ -245,20 +246,20 @@
     v.setPosition(replica_.state().position);
     link->send(answer.message());
   }
-  for (const auto& later : out.sends) send(later.to, later.envelope);
+  for (const auto& message : out.sends) send(message.to, message.envelope);
   for (const auto& need : out.snapshots) offer_snapshot(need);
 }
 
 void Store::send(const std::string& to, const agreement::Envelope& envelope) {
-  if (to == settings_.bind_ip) {  // in a turn of its own: the agreement's calls must not nest
+  if (to == settings_.bind_ip) {  // posted, as calls of the replica must not nest
     boost::asio::post(io_, lifetime_.bind([this, envelope] {
-      if (!stopped_) carry_out(replica_.receive(clock_.now(), settings_.bind_ip, envelope));
+      if (!stopped_) execute(replica_.receive(clock_.now(), settings_.bind_ip, envelope));
     }));
     return;
   }
   const auto it = stores_.find(to);
   if (it == stores_.end() || !it->second->up()) return;
-  // What is fetched now brings it on.
+  // The snapshot that is being received makes this fetch unnecessary.
   const bool fetching = receiver_.fetching() && !receiver_.paused();
   if (fetching && std::holds_alternative<agreement::Fetch>(envelope.message)) return;
   fleet::Outgoing frame;
@@ -266,7 +267,7 @@
   it->second->link()->send(frame.message());
 }
 
-void Store::bring_up_to_date(Registry& r) {
+void Store::send_changes(RegistryLink& r) {
   if (!r.link->open() || !replica_.has_state()) return;
   fleet::Outgoing frame;
   if (feed_.next(clock_.now(), r.changes, changes_, frame)) r.link->send(frame.message());
@@ -286,11 +287,11 @@
   const auto now = clock_.now();
   const auto least = replica_.has_state() ? replica_.state().position + 1 : 0;
   const auto step = receiver_.on_part(now, from, transfer::get(frame), least);
-  carry_out(step);
-  if (step.whole) carry_out(replica_.receive_snapshot(now, *step.whole));
+  execute(step);
+  if (step.whole) execute(replica_.receive_snapshot(now, *step.whole));
 }
 
-void Store::carry_out(const transfer::SnapshotReceiver::Step& step) {
+void Store::execute(const transfer::SnapshotReceiver::Step& step) {
   for (const auto& note : step.notes) log_.info(note);
   for (const auto& request : step.requests) {
     const auto store = stores_.find(request.source);
@@ -301,12 +302,12 @@
   }
 }
 
-// Hands the vote over where a learner can take it, then ends.
+// Hands the vote over to a learner, if one can take it, then stops.
 void Store::leave(std::function<void()> ended) {
   if (!leaving_) log_.info("leaves");
   leaving_ = true;
-  carry_out(replica_.leave(clock_.now()));
-  leave_timer_.expires_after(replica_.may_end(clock_.now()) ? kLastWords : kTick);
+  execute(replica_.leave(clock_.now()));
+  leave_timer_.expires_after(replica_.may_end(clock_.now()) ? kSendGrace : kTick);
   const bool ends = replica_.may_end(clock_.now());
   leave_timer_.async_wait(
       lifetime_.bind([this, ends, ended = std::move(ended)](boost::system::error_code cancelled) mutable {
@@ -322,7 +323,7 @@
   timer_.async_wait(lifetime_.bind([this](boost::system::error_code failed_wait) {
     if (failed_wait || stopped_) return;
     feed_.expire(clock_.now());
-    if (disk_.waiting() <= kWritesWaiting) carry_out(replica_.tick(clock_.now()));
+    if (disk_.waiting() <= kMaxQueuedWrites) execute(replica_.tick(clock_.now()));
     tick();
   }));
 }
--- a/tests/system/configuration_model_test.cpp
+++ b/tests/system/configuration_model_test.cpp
@@ -1,4 +1,5 @@
-// What patches, snapshots and restarts lead to, beside a naive model of the routes: a map by name.
+// Compares the routes that result from random patches, snapshots and restarts with a simple model: a map by
+// name.
 #include <boost/test/unit_test.hpp>
 #include <map>
 #include <random>
@@ -25,7 +26,7 @@
 const std::vector<std::string> kPrefixes = {"/a/", "/a/b/", "/a/b/c/", "/b/", "/c/", "/c/a/"};
 const std::vector<std::string> kServices = {"alpha", "beta"};
 
-// The name of the route that a request to `path` takes; empty: none.
+// The name of the route that matches a request to `path`; empty: none.
 std::string route_of(const Model& model, const std::string& host, const std::string& path) {
   std::string best;
   std::size_t longest = 0;
@@ -38,9 +39,9 @@
 }
 
 bool is_valid(const Model& model) {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> host_prefixes;
   for (const auto& [name, route] : model)
-    if (!places.emplace(route.host, route.prefix).second) return false;
+    if (!host_prefixes.emplace(route.host, route.prefix).second) return false;
   return true;
 }
 
@@ -51,9 +52,9 @@
           {"action", {{"svc", route.service}, {"tmo_ms", 1000}, {"tries", 1}}}};
 }
 
-class ModelPlay {
+class ModelRun {
  public:
-  explicit ModelPlay(std::uint64_t seed) : seed_(seed), random_(seed) {}
+  explicit ModelRun(std::uint64_t seed) : seed_(seed), random_(seed) {}
 
   void run() {
     while (state_.version() == 0) replace();  // a patch needs something to change
@@ -69,23 +70,23 @@
   }
 
  private:
-  const std::string& any(const std::vector<std::string>& of) { return of[random_() % of.size()]; }
-  std::string any_name() { return "r" + std::to_string(random_() % 10); }
-  ModelRoute any_route() { return {any(kHosts), any(kPrefixes), any(kServices)}; }
+  const std::string& pick(const std::vector<std::string>& of) { return of[random_() % of.size()]; }
+  std::string random_name() { return "r" + std::to_string(random_() % 10); }
+  ModelRoute random_route() { return {pick(kHosts), pick(kPrefixes), pick(kServices)}; }
 
   json document_with(const json& listeners) {
     json clusters = json::array();
     for (const auto& service : kServices) clusters.push_back({{"name", service}});
     return {{"listeners", listeners}, {"clusters", clusters}};
   }
-  // Routes under their hosts; a host may stand there more than once.
+  // Groups routes by host; a host may appear more than once.
   json listeners_of(const Model& routes) {
     json listeners = json::array();
     for (const auto& [name, route] : routes) {
-      const auto same = std::ranges::find_if(listeners,
-                                             [&](const json& l) { return l["vhost"] == route.host; });
-      if (same != listeners.end() && random_() % 4 != 0) {
-        (*same)["policy"].push_back(policy_of(name, route));
+      const auto listener = std::ranges::find_if(listeners,
+                                                 [&](const json& l) { return l["vhost"] == route.host; });
+      if (listener != listeners.end() && random_() % 4 != 0) {
+        (*listener)["policy"].push_back(policy_of(name, route));
       } else {
         listeners.push_back({{"vhost", route.host}, {"policy", json::array({policy_of(name, route)})}});
       }
@@ -95,16 +96,16 @@
 
   void replace() {
     Model next;
-    for (auto n = random_() % 8; n > 0; --n) next[any_name()] = any_route();
+    for (auto n = random_() % 8; n > 0; --n) next[random_name()] = random_route();
     submit(ChangeKind::replace, document_with(listeners_of(next)), next);
   }
   void patch() {
     Model next = model_;
     Model changed;
-    for (auto n = random_() % 4; n > 0; --n) changed[any_name()] = any_route();
+    for (auto n = random_() % 4; n > 0; --n) changed[random_name()] = random_route();
     json removed = json::array();
     for (auto n = random_() % 3; n > 0; --n)
-      if (const auto name = any_name(); !changed.contains(name)) removed.push_back(name);
+      if (const auto name = random_name(); !changed.contains(name)) removed.push_back(name);
     for (const auto& [name, route] : changed) next[name] = route;
     for (const auto& name : removed) next.erase(name);
     json body = {{"upsert", {{"listeners", listeners_of(changed)}}}, {"remove", {{"routing", removed}}}};
@@ -116,23 +117,23 @@
     body["gen"] = configuration::format_version(parent + 1 + random_() % 3);
     body["parent"] = configuration::format_version(parent);
     const auto text = body.dump();
-    const auto judged = kind == ChangeKind::replace ? configuration::validate_replace(state_, text, nullptr)
+    const auto result = kind == ChangeKind::replace ? configuration::validate_replace(state_, text, nullptr)
                                                     : configuration::validate_patch(state_, text, nullptr);
-    BOOST_TEST(judged.status == (is_valid(next) ? 200 : 400), "seed " << seed_ << ": " << judged.why);
+    BOOST_TEST(result.status == (is_valid(next) ? 200 : 400), "seed " << seed_ << ": " << result.why);
     const bool effect = configuration::apply(state_, kind, text);
     BOOST_TEST(effect == is_valid(next), "seed " << seed_);
     follow(kind, text);
     if (effect) model_ = next;
   }
 
-  // One copy follows by entries, from wherever it has started.
+  // Applies the change to the copy as a log entry.
   void follow(ChangeKind kind, const std::string& text) {
     fleet::Outgoing out;
     auto entries = out.frame().initChanges().initEntries(1);
     fleet::put(entries[0], fleet::Entry{copy_.position() + 1, fleet::change_of(kind), text});
     copy_.take(out.frame().asReader().getChanges());
   }
-  // The copy begins anew from a snapshot, as a proxy does.
+  // Restarts the copy from a snapshot, as a proxy does.
   void restart() {
     const auto snapshot = transfer::decode(transfer::encode(state_)->bytes);
     BOOST_REQUIRE(snapshot.has_value());
@@ -165,9 +166,8 @@
 
 BOOST_AUTO_TEST_SUITE(configuration_model)
 
-BOOST_AUTO_TEST_CASE(
-    given_patches_and_restarts_by_chance_when_routes_are_asked_then_they_are_those_of_the_model) {
-  for (std::uint64_t seed = 1; seed <= last_seed(100); ++seed) ModelPlay(seed).run();
+BOOST_AUTO_TEST_CASE(given_random_patches_and_restarts_when_routes_are_looked_up_then_they_match_the_model) {
+  for (std::uint64_t seed = 1; seed <= last_seed(100); ++seed) ModelRun(seed).run();
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -1,4 +1,4 @@
-// The smaller parts: settings, heads, the configuration, records, the log of changes, the disk.
+// Unit tests of settings, HTTP heads, the configuration, records, the log of changes and the disk.
 #include <boost/test/unit_test.hpp>
 #include <filesystem>
 #include <fstream>
@@ -23,7 +23,7 @@
     "2500\n"
     "bounds.strict_revoke=true\nnot.known=7\ninvariants=base,drain\n";
 
-BOOST_AUTO_TEST_CASE(given_a_settings_file_when_it_is_read_then_all_that_is_known_is_taken) {
+BOOST_AUTO_TEST_CASE(given_a_settings_file_when_it_is_read_then_all_known_settings_are_applied) {
   auto read = parse_settings(kSettings, "x");
   BOOST_REQUIRE(!failed(read));
   const auto& s = value(read);
@@ -36,7 +36,8 @@
   BOOST_TEST(s.contracts.contains("drain"));
 }
 
-BOOST_AUTO_TEST_CASE(given_a_settings_file_with_mistakes_when_it_is_read_then_each_has_a_line) {
+BOOST_AUTO_TEST_CASE(
+    given_a_settings_file_with_errors_when_it_is_read_then_each_error_is_reported_on_a_line) {
   auto read = parse_settings("az=z\nport_range=9,9\nseeds=\nbootstrap=maybe\nbounds.drain_ms=-4\n", "x");
   BOOST_REQUIRE(failed(read));
   const auto& what = failure(read).what;
@@ -45,7 +46,7 @@
     BOOST_TEST(what.find(key) != std::string::npos, key);
 }
 
-BOOST_AUTO_TEST_CASE(given_heads_that_could_hide_another_request_when_they_are_read_then_they_are_bad) {
+BOOST_AUTO_TEST_CASE(given_heads_that_allow_request_smuggling_when_they_are_parsed_then_they_are_rejected) {
   http::Head h;
   for (const auto* text :
        {"GET /a HTTP/1.1\r\nHost : x\r\n\r\n", "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n",
@@ -64,7 +65,7 @@
   BOOST_TEST((http::read_answer("HTT", 1000, h).read == http::Read::more));
 }
 
-BOOST_AUTO_TEST_CASE(given_a_query_when_a_value_is_asked_for_then_it_is_decoded) {
+BOOST_AUTO_TEST_CASE(given_a_query_when_a_value_is_looked_up_then_it_is_decoded) {
   BOOST_TEST(http::query_value("/resolve?name=a%2Eb&rgn=hu-east&az=", "name") == "a.b");
   BOOST_TEST(http::query_value("/resolve?name=a&rgn=hu-east", "rgn") == "hu-east");
   BOOST_TEST(http::query_value("/resolve?xname=a", "name") == "");
@@ -72,7 +73,7 @@
 
 // ---- the configuration
 
-BOOST_AUTO_TEST_CASE(given_bodies_that_are_invalid_when_they_are_judged_then_they_get_400) {
+BOOST_AUTO_TEST_CASE(given_invalid_bodies_when_they_are_validated_then_they_get_400) {
   State s;
   nlohmann::json after;
   BOOST_TEST(configuration::validate_replace(s, config_body(1, 0), &after).status == 200);
@@ -96,7 +97,7 @@
   BOOST_TEST(configuration::validate_replace(s, config_body(4, 2), nullptr).status == 412);
 }
 
-BOOST_AUTO_TEST_CASE(given_a_patch_when_it_is_taken_then_items_change_by_name_and_all_else_stays) {
+BOOST_AUTO_TEST_CASE(given_a_patch_when_it_is_applied_then_items_change_by_name_and_the_rest_stays) {
   State s;
   BOOST_REQUIRE(configuration::apply(s, configuration::ChangeKind::replace, config_body(1, 0)));
   const std::string patch =
@@ -107,7 +108,7 @@
       R"("accts":[{"name":"t2","apikeys":["k2"]}]},"remove":{"routing":["gone"]}})";
   BOOST_REQUIRE(configuration::apply(s, configuration::ChangeKind::patch, patch));
   BOOST_TEST(s.version() == 3u);
-  BOOST_TEST(s.document["listeners"].size() == 1u);  // r1 went to the other host, and its old one is empty
+  BOOST_TEST(s.document["listeners"].size() == 1u);  // r1 moved to another host; its old host is removed
   BOOST_TEST(s.document["clusters"].size() == 2u);
   BOOST_TEST(s.document["clusters"][0]["warmup_s"].is_number_float());  // as it was sent
   auto read = configuration::read(s.document);
@@ -121,7 +122,7 @@
   BOOST_REQUIRE(configuration::apply(s, configuration::ChangeKind::patch, removal));
   BOOST_TEST(s.document["clusters"].size() == 1u);
   BOOST_TEST(s.document["accts"].size() == 1u);
-  // The same once more changes nothing; one that leaves a route without its service is refused.
+  // Repeating the patch changes nothing; a patch that leaves a route without its service is rejected.
   BOOST_TEST(!configuration::apply(s, configuration::ChangeKind::patch, removal));
   BOOST_TEST(configuration::validate_patch(
                  s, R"({"gen":"00000009","parent":"00000004","remove":{"svcs":["alpha"]}})", nullptr)
@@ -141,8 +142,8 @@
   BOOST_TEST(value(read)->find_route("x.example", "/a/") == nullptr);
 }
 
-// Names of hosts are the same in upper and lower case.
-BOOST_AUTO_TEST_CASE(given_a_host_in_other_letters_when_a_route_is_looked_up_then_it_is_found) {
+// Host names are case-insensitive.
+BOOST_AUTO_TEST_CASE(given_a_host_in_different_case_when_a_route_is_looked_up_then_it_is_found) {
   auto document = nlohmann::json::parse(config_body(5, 0));
   document["listeners"][0]["vhost"] = "Gates.Example";
   const auto read = configuration::read(document);
@@ -151,31 +152,30 @@
   for (const auto* host : {"Gates.Example", "gates.example", "GATES.EXAMPLE:8080"})
     BOOST_TEST((std::get<0>(read)->find_route(host, prefix + "x") != nullptr), host);
   BOOST_TEST((std::get<0>(read)->find_route("gate.example", prefix + "x") == nullptr));
-  auto same_place = document;
-  same_place["listeners"].push_back(document["listeners"][0]);
-  same_place["listeners"][1]["vhost"] = "gates.example";
-  same_place["listeners"][1]["policy"][0]["name"] = "another";
-  BOOST_TEST(failed(configuration::read(same_place)));
+  auto same_host_and_prefix = document;
+  same_host_and_prefix["listeners"].push_back(document["listeners"][0]);
+  same_host_and_prefix["listeners"][1]["vhost"] = "gates.example";
+  same_host_and_prefix["listeners"][1]["policy"][0]["name"] = "another";
+  BOOST_TEST(failed(configuration::read(same_host_and_prefix)));
 }
 
-BOOST_AUTO_TEST_CASE(given_many_changes_when_an_early_body_is_sent_again_then_it_is_known_and_no_other_is) {
+BOOST_AUTO_TEST_CASE(given_many_changes_when_an_early_body_is_sent_again_then_only_that_body_is_recognized) {
   State s;
-  constexpr std::uint64_t kVersions = 300;  // what a day may hold
+  constexpr std::uint64_t kVersions = 300;  // changes of a day
   for (std::uint64_t version = 1; version <= kVersions; ++version)
     BOOST_REQUIRE(
         configuration::apply(s, configuration::ChangeKind::replace, config_body(version, version - 1)));
-  const auto again = configuration::validate_replace(s, config_body(3, 2), nullptr);
-  BOOST_TEST(again.status == 200);
-  BOOST_TEST(again.already_accepted);
-  // The loser of a race has the same number; the same bytes as a patch are another order.
+  const auto repeated = configuration::validate_replace(s, config_body(3, 2), nullptr);
+  BOOST_TEST(repeated.status == 200);
+  BOOST_TEST(repeated.already_accepted);
+  // A concurrent body that lost has the same version; the same bytes sent as a patch are a different change.
   BOOST_TEST(configuration::validate_replace(s, config_body(3, 2, "beta"), nullptr).status == 412);
   BOOST_TEST(configuration::validate_patch(s, config_body(3, 2), nullptr).status == 412);
-  // Never to be taken, whatever is current.
+  // Invalid whichever version is current.
   BOOST_TEST(configuration::validate_replace(s, config_body(kVersions, kVersions), nullptr).status == 400);
 }
 
-BOOST_AUTO_TEST_CASE(
-    given_a_version_history_when_it_is_full_or_read_back_then_the_newest_versions_are_known) {
+BOOST_AUTO_TEST_CASE(given_a_version_history_when_it_is_full_or_decoded_then_it_holds_the_newest_versions) {
   configuration::VersionHistory history;
   const auto most = configuration::VersionHistory::kMaxVersions;
   for (std::uint64_t version = 1; version <= most + 1; ++version)
@@ -190,37 +190,39 @@
   BOOST_TEST(!configuration::VersionHistory::decode(std::string_view(bytes).substr(1)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(given_a_zone_order_when_a_later_one_has_taken_effect_then_only_its_wish_is_compared) {
+BOOST_AUTO_TEST_CASE(
+    given_an_outdated_evacuation_command_when_it_is_validated_then_it_succeeds_only_if_already_in_effect) {
   State s;
   using configuration::ChangeKind;
   BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_order("z", 0)));
-  BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::evacuate, zone_order("z", 0)).in_force);
+  BOOST_TEST(
+      configuration::validate_evacuation(s, ChangeKind::evacuate, zone_order("z", 0)).already_in_effect);
   BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::readmit, zone_order("z", 0)).status == 503);
   BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, zone_order("z", 0)));
-  BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_order("y", 0)));  // each zone by itself
+  BOOST_TEST(configuration::apply(s, ChangeKind::evacuate, zone_order("y", 0)));  // zones are independent
   BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 2)));
   BOOST_TEST(s.zone_changes.at("z") == 4u);
   for (const auto* text : {"", "z", "1 ", "x z", "-1 z"})
     BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::evacuate, text).status == 400, text);
 }
 
-// An order that was given up by its caller may still lie in a store's queue when a newer one is acknowledged.
+// A command abandoned by its caller may still be in a store's queue when a newer command is acknowledged.
 BOOST_AUTO_TEST_CASE(
-    given_an_order_whose_wish_holds_when_it_is_agreed_then_opposite_ones_from_before_have_no_effect) {
+    given_a_command_already_in_effect_when_it_is_applied_then_older_opposite_commands_have_no_effect) {
   State s;
   using configuration::ChangeKind;
   configuration::apply(s, ChangeKind::evacuate, zone_order("z", 0));
-  const auto given_up = zone_order("z", 1);  // to readmit; held up
+  const auto abandoned = zone_order("z", 1);  // readmits; delayed
   BOOST_TEST(
       configuration::apply(s, ChangeKind::evacuate, zone_order("z", 1)));  // acknowledged: z is evacuated
-  BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::readmit, given_up).status == 503);
-  BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, given_up));
+  BOOST_TEST(configuration::validate_evacuation(s, ChangeKind::readmit, abandoned).status == 503);
+  BOOST_TEST(!configuration::apply(s, ChangeKind::readmit, abandoned));
   BOOST_TEST(s.evacuated == std::vector<std::string>{"z"}, boost::test_tools::per_element());
-  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 3)));  // a newer one has
+  BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 3)));  // newer: takes effect
   BOOST_TEST(s.evacuated.empty());
-  const auto given_up_too = zone_order("z", 4);  // to evacuate
+  const auto abandoned_evacuation = zone_order("z", 4);  // evacuates
   BOOST_TEST(configuration::apply(s, ChangeKind::readmit, zone_order("z", 4)));
-  BOOST_TEST(!configuration::apply(s, ChangeKind::evacuate, given_up_too));
+  BOOST_TEST(!configuration::apply(s, ChangeKind::evacuate, abandoned_evacuation));
 }
 
 // ---- records
@@ -232,21 +234,21 @@
   return s;
 }
 
-BOOST_AUTO_TEST_CASE(given_records_in_any_order_when_they_are_merged_then_all_registries_have_the_same) {
+BOOST_AUTO_TEST_CASE(given_records_in_any_order_when_they_are_merged_then_all_registries_agree) {
   std::mt19937_64 random(3);
-  std::vector<fleet::Server> told;
+  std::vector<fleet::Server> records;
   for (int i = 0; i < 8; ++i)
     for (std::uint64_t c = 1; c < 6; ++c) {
       auto s = server("i" + std::to_string(i), c,
                       c >= 4 && i % 2 == 0 ? fleet::Phase::DRAINING : fleet::Phase::READY);
       if (c == 5 && i % 4 == 0) s.phase = fleet::Phase::GONE;
-      told.push_back(s);
+      records.push_back(s);
     }
   std::vector<std::uint64_t> first;
   for (int round = 0; round < 30; ++round) {
-    std::shuffle(told.begin(), told.end(), random);
+    std::shuffle(records.begin(), records.end(), random);
     fleet::Servers table;
-    for (const auto& s : told) table.merge(s);
+    for (const auto& s : records) table.merge(s);
     const auto digests = table.digests(16);
     if (first.empty()) first = digests;
     BOOST_TEST(digests == first);
@@ -255,21 +257,21 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(given_a_record_from_the_cache_when_one_as_new_is_heard_then_that_one_holds) {
+BOOST_AUTO_TEST_CASE(given_a_cached_record_when_one_as_recent_is_received_then_it_replaces_the_cached_one) {
   fleet::Servers table;
   auto cached = server("a", 5);
   cached.from_cache = true, cached.heard = Time{1h};
   table.merge(cached);
-  BOOST_TEST((table.digests(4) == fleet::Servers{}.digests(4)));  // others are not told of it
-  auto heard = server("a", 5);
-  heard.heard = Time{1h} - 2s;                               // by another registry, before this one started
-  BOOST_TEST((table.merge(heard) == fleet::Merged::heard));  // proxies were told of it: it is as they know it
+  BOOST_TEST((table.digests(4) == fleet::Servers{}.digests(4)));  // cached records are not gossiped
+  auto received = server("a", 5);
+  received.heard = Time{1h} - 2s;  // at another registry, before this one started
+  BOOST_TEST((table.merge(received) == fleet::Merged::heard));  // unchanged from what proxies were sent
   BOOST_TEST(!table.find("a")->from_cache);
   BOOST_TEST((table.find("a")->heard == Time{1h} - 2s));
   BOOST_TEST((table.merge(cached) == fleet::Merged::nothing));
   BOOST_TEST((table.digests(4) != fleet::Servers{}.digests(4)));
 
-  // Another address, phase or cold time than in the cache is told at once.
+  // A change of the cached address, phase or warm-up time is reported at once.
   const auto merged_with_cache = [&cached](fleet::Server next) {
     fleet::Servers with_cache;
     with_cache.merge(cached);
@@ -286,27 +288,27 @@
   BOOST_TEST((merged_with_cache(server("a", 6)) == fleet::Merged::heard));
 
   fleet::Servers newer;
-  auto drains = server("a", 9, fleet::Phase::DRAINING);
-  drains.from_cache = true;
-  newer.merge(drains);
-  newer.merge(server("a", 8));  // told before the one in the cache
+  auto draining = server("a", 9, fleet::Phase::DRAINING);
+  draining.from_cache = true;
+  newer.merge(draining);
+  newer.merge(server("a", 8));  // older than the cached one
   BOOST_TEST((newer.find("a")->phase == fleet::Phase::DRAINING));
 }
 
 BOOST_AUTO_TEST_CASE(
-    given_a_silent_server_when_the_registry_hears_all_others_then_it_is_lost_until_it_beats_again) {
+    given_an_unresponsive_server_when_the_registry_is_not_isolated_then_it_expires_until_its_next_heartbeat) {
   fleet::Servers table;
   table.merge(server("a", 1));
   BOOST_TEST(
-      table.expire(Time{1h} + 60s, Duration{}, 60s).empty());  // a registry that is alone calls nobody lost
+      table.expire(Time{1h} + 60s, Duration{}, 60s).empty());  // an isolated registry expires no server
   BOOST_TEST(table.expire(Time{1h} + 60s, 6s, 60s).size() == 1u);
   BOOST_TEST((table.merge(server("a", 2)) == fleet::Merged::changed));
   table.merge(server("a", 0, fleet::Phase::GONE));
-  BOOST_TEST((table.merge(server("a", 9)) == fleet::Merged::nothing));  // who has left stays gone
+  BOOST_TEST((table.merge(server("a", 9)) == fleet::Merged::nothing));  // a departure is final
 }
 
 BOOST_AUTO_TEST_CASE(
-    given_a_member_that_restarted_when_a_word_of_its_earlier_life_comes_late_then_it_is_passed_over) {
+    given_a_restarted_member_when_a_late_update_of_its_earlier_incarnation_arrives_then_it_is_ignored) {
   fleet::Nodes nodes;
   fleet::Node n;
   n.id = "p", n.life = 5, n.stamp = 1, n.heard = Time{1h};
@@ -321,9 +323,10 @@
   BOOST_TEST(nodes.all().empty());
 }
 
-// ---- the log of changes as followers have it
+// ---- the followers' copy of the log of changes
 
-BOOST_AUTO_TEST_CASE(given_a_follower_when_a_change_is_missing_then_it_says_so_and_takes_nothing_past_it) {
+BOOST_AUTO_TEST_CASE(
+    given_a_follower_when_a_change_is_missing_then_it_reports_a_gap_and_applies_nothing_after_it) {
   fleet::ChangeLog source, follower;
   const auto feed = [](fleet::ChangeLog& to, std::vector<fleet::Entry> entries) {
     fleet::Outgoing out;
@@ -352,7 +355,8 @@
   BOOST_TEST(fresh.state().zone_changes.at("z") == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(given_two_logs_when_they_differ_at_one_place_then_their_digests_differ_from_there_on) {
+BOOST_AUTO_TEST_CASE(
+    given_two_logs_when_they_differ_at_one_position_then_their_digests_differ_from_there_on) {
   State one, other;
   configuration::LogDigests digests;
   digests.record(0, one.log_digest);
@@ -369,46 +373,46 @@
   BOOST_TEST(digests.contradicts(other.position, other.log_digest));
   same(ChangeKind::replace, config_body(2, 1));
   BOOST_TEST(digests.contradicts(other.position, other.log_digest));
-  // Nothing is said of places that are not known, and of a state of an earlier format.
+  // Unknown positions and states of an earlier format contradict nothing.
   BOOST_TEST(!digests.contradicts(9, other.log_digest));
   BOOST_TEST(!digests.contradicts(2, configuration::kUnknownDigest));
   BOOST_TEST(configuration::digest_after(configuration::kUnknownDigest, 0, "x") ==
              configuration::kUnknownDigest);
-  // Through a snapshot as well.
+  // A snapshot keeps the digest.
   const auto snapshot = transfer::decode(transfer::encode(one)->bytes);
   BOOST_REQUIRE(snapshot.has_value());
   BOOST_TEST(snapshot->log_digest == one.log_digest);
 }
 
-BOOST_AUTO_TEST_CASE(given_many_places_when_digests_are_noted_then_the_last_ones_are_kept) {
+BOOST_AUTO_TEST_CASE(given_many_positions_when_digests_are_recorded_then_the_most_recent_ones_are_kept) {
   configuration::LogDigests digests;
-  constexpr std::uint64_t kMost = configuration::LogDigests::kMaxDigests;
-  for (std::uint64_t place = 1; place <= kMost + 5; ++place) digests.record(place, place + 100);
+  constexpr std::uint64_t kMax = configuration::LogDigests::kMaxDigests;
+  for (std::uint64_t position = 1; position <= kMax + 5; ++position) digests.record(position, position + 100);
   BOOST_TEST(digests.at(5) == configuration::kUnknownDigest);
   BOOST_TEST(digests.at(6) == 106u);
-  BOOST_TEST(digests.at(kMost + 5) == kMost + 105);
-  digests.record(9000, 7);  // by a snapshot
-  BOOST_TEST(digests.at(kMost + 5) == configuration::kUnknownDigest);
+  BOOST_TEST(digests.at(kMax + 5) == kMax + 105);
+  digests.record(9000, 7);  // after a snapshot
+  BOOST_TEST(digests.at(kMax + 5) == configuration::kUnknownDigest);
   BOOST_TEST(digests.at(9000) == 7u);
 }
 
 // ---- the disk
 
 BOOST_AUTO_TEST_CASE(
-    given_a_log_on_disk_when_it_is_as_large_as_the_state_or_long_to_apply_then_a_snapshot_is_due) {
+    given_a_log_on_disk_when_it_is_as_large_as_the_state_or_slow_to_apply_then_a_snapshot_is_due) {
   const agreement::SnapshotPolicy policy;
   constexpr std::uint64_t kSmallState = 4'000, kLargeState = 5'000'000;
   BOOST_TEST(!policy.is_due({31, 100'000}, kSmallState));
   BOOST_TEST(policy.is_due({32, 100'000}, kSmallState));
   BOOST_TEST(!policy.is_due({32, 1'000}, kSmallState));
   BOOST_TEST(policy.is_due({256, 1'000}, kSmallState));
-  BOOST_TEST(!policy.is_due({50, 50'000}, kLargeState));  // it is written less often than each 32 changes
+  BOOST_TEST(!policy.is_due({50, 50'000}, kLargeState));  // less often than every 32 changes
   BOOST_TEST(policy.is_due({54, 50'000}, kLargeState));   // a restart applies 54 changes to 5 MB each
   BOOST_TEST(!policy.is_due({3, 15'000'000}, kLargeState));
   BOOST_TEST(policy.is_due({4, 20'000'000}, kLargeState));  // the disk holds 256 MB
 }
 
-BOOST_AUTO_TEST_CASE(given_a_store_when_its_changes_go_to_the_disk_then_the_log_there_stays_bounded) {
+BOOST_AUTO_TEST_CASE(given_a_store_when_changes_are_written_to_disk_then_the_log_stays_bounded) {
   CoreFleet core({"a", "a", "b"}, 11);
   BOOST_TEST(core.put(0, 1, 0) == 200);
   std::size_t longest = 0, snapshots = 0;
@@ -423,17 +427,17 @@
   BOOST_TEST(snapshots >= 2u);
 }
 
-struct Folder {
-  Folder() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     char name[] = "/tmp/docklift-disk-XXXXXX";
     path = ::mkdtemp(name);
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
-BOOST_AUTO_TEST_CASE(given_a_disk_when_it_is_opened_again_then_it_holds_what_was_written) {
-  Folder f;
+BOOST_AUTO_TEST_CASE(given_a_disk_when_it_is_reopened_then_it_holds_what_was_written) {
+  TemporaryFolder f;
   {
     auto disk = Disk::open(f.path + "/d");
     BOOST_REQUIRE(!failed(disk));
@@ -481,8 +485,8 @@
   BOOST_TEST(value(after).log.empty());
 }
 
-BOOST_AUTO_TEST_CASE(given_a_damaged_disk_when_it_is_opened_then_it_is_mended_or_set_aside) {
-  Folder f;
+BOOST_AUTO_TEST_CASE(given_a_damaged_disk_when_it_is_opened_then_it_is_repaired_or_set_aside) {
+  TemporaryFolder f;
   {
     auto disk = Disk::open(f.path + "/d");
     agreement::Write w;
@@ -496,7 +500,7 @@
   BOOST_REQUIRE(!failed(disk));
   auto kept = value(disk)->read();
   BOOST_REQUIRE(!failed(kept));
-  // Either all of it is there again, or nothing is and the store counts as one without its disk.
+  // Either everything is restored, or nothing is and the store is treated as one that lost its disk.
   BOOST_TEST((value(kept).any ? value(kept).state.position == 4u : value(kept).state.position == 0u));
 }
 
--- a/tests/system/store_end_test.cpp
+++ b/tests/system/store_end_test.cpp
@@ -1,5 +1,5 @@
-// A store that is destroyed while its disk's thread and its loop still hold callbacks of it. Under the sanitizers a
-// callback that runs all the same is a use after free.
+// Destroying a store while its disk thread and its event loop still hold callbacks of it. A callback that
+// runs regardless is a use after free, which the sanitizers report.
 #include <boost/asio.hpp>
 #include <boost/test/unit_test.hpp>
 #include <future>
@@ -11,7 +11,7 @@
 namespace docklift::test {
 namespace {
 
-SystemSettings settings_of_a_single_store() {
+SystemSettings single_store_settings() {
   const std::string ip = "127.62." + std::to_string(::getpid() % 200 + 20) + ".1";
   auto read = parse_settings(
       "hostname=m1\nbind_ip=" + ip + "\naz=z1\nrgn=r1\nazs.z1=r1\nport_range=21000,21005\nseeds=" + ip +
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(store_end)
 
-BOOST_AUTO_TEST_CASE(given_a_callback_of_an_owner_when_the_owner_is_gone_then_it_does_nothing) {
+BOOST_AUTO_TEST_CASE(given_a_callback_bound_to_a_lifetime_when_the_lifetime_has_ended_then_it_does_nothing) {
   int calls = 0;
   auto lifetime = std::make_unique<Lifetime>();
   auto callback = lifetime->bind([&calls](int times) { calls += times; });
@@ -34,20 +34,21 @@
   BOOST_TEST(calls == 2);
 }
 
-BOOST_AUTO_TEST_CASE(given_a_write_under_way_when_its_store_is_destroyed_then_the_loop_runs_on_without_it) {
+BOOST_AUTO_TEST_CASE(
+    given_a_write_in_progress_when_its_store_is_destroyed_then_the_event_loop_continues_without_it) {
   boost::asio::io_context io{1};
   SimulatedFiles files;
   auto disk = Disk::open("/a-folder-of-no-machine/disk", files);
   BOOST_REQUIRE(!failed(disk));
   auto kept = value(disk)->read();
   BOOST_REQUIRE(!failed(kept));
-  auto store = std::make_unique<Store>(io, settings_of_a_single_store(), std::move(value(disk)),
+  auto store = std::make_unique<Store>(io, single_store_settings(), std::move(value(disk)),
                                        std::move(value(kept)));
-  std::promise<void> write_began;
-  files.lose_power_at(1, 1, [&write_began] { write_began.set_value(); });
+  std::promise<void> write_started;
+  files.lose_power_at(1, 1, [&write_started] { write_started.set_value(); });
   store->start();  // its first write is durable
-  write_began.get_future().wait();
-  store.reset();  // waits for the write, whose end is then in the loop
+  write_started.get_future().wait();
+  store.reset();  // waits for the write, whose completion is then queued in the event loop
   BOOST_TEST(io.poll() > 0u);
 }
 
