--- a/src/system/agreement/messages.hpp
+++ b/src/system/agreement/messages.hpp
@@ -29,7 +29,7 @@
 
 // The content of one log slot. A proposer recognizes its own changes by `author` and `number`.
 struct Change {
-  ChangeKind kind = ChangeKind::nothing;
+  ChangeKind kind = ChangeKind::noop;
   std::string text, author;
   std::uint64_t number = 0;
   bool operator==(const Change&) const = default;
@@ -87,7 +87,7 @@
 struct Log {
   std::vector<LogEntry> entries;  // in order, at most one batch
   std::uint64_t newest = 0;       // position of the sender: if beyond the batch, there is more to fetch
-  std::uint64_t digest_before = configuration::kDigestNotKnown;  // at the position before the first entry
+  std::uint64_t digest_before = configuration::kUnknownDigest;  // at the position before the first entry
 };
 
 using Message = std::variant<Prepare, Promise, Accept, Accepted, LogEntry, StatusRequest, Status, Fetch, Log>;
@@ -97,7 +97,7 @@
   std::uint64_t disk = 0;
   std::uint64_t membership = 0;  // the highest membership number that the sender knows
   std::uint64_t position = 0;    // of its log, and the digest there
-  std::uint64_t log_digest = configuration::kDigestNotKnown;
+  std::uint64_t log_digest = configuration::kUnknownDigest;
 };
 struct Envelope {
   Sender sender;
--- a/src/system/agreement/replica.cpp
+++ b/src/system/agreement/replica.cpp
@@ -40,12 +40,12 @@
   disk_ = stored.disk;
   promised_ = stored.promised;
   reset_log_size();
-  digests_.note(state_.position, state_.log_digest);
+  digests_.record(state_.position, state_.log_digest);
   for (auto& [slot, accepted] : stored.accepted) accepted_[slot] = std::move(accepted);
   for (const auto& entry : stored.log) {
     if (entry.slot != state_.position + 1) continue;
     configuration::apply(state_, entry.change.kind, entry.change.text);
-    digests_.note(state_.position, state_.log_digest);
+    digests_.record(state_.position, state_.log_digest);
     log_.push(entry);
     count_logged(entry);
   }
@@ -118,10 +118,10 @@
 
 Actions Replica::propose(Time now, std::uint64_t id, ChangeKind kind, std::string text) {
   update_clock(now);
-  if (kind == ChangeKind::nothing && reads_.size() < kMaxQueued) {
+  if (kind == ChangeKind::noop && reads_.size() < kMaxQueued) {
     reads_.push_back({id, now});
     if (has_state() && !barrier_running_) begin_read_barrier(now);
-  } else if (kind == ChangeKind::nothing || queue_.size() >= kMaxQueued) {
+  } else if (kind == ChangeKind::noop || queue_.size() >= kMaxQueued) {
     actions_.completions.push_back({id, 503, "too many calls wait"});
   } else {
     queue_.push_back({id, kind, std::move(text), now, false});
@@ -149,13 +149,15 @@
   auto& proposal = queue_.front();
   bool changes = true;
   bool needs_barrier = true;
-  configuration::Judgement judgement;
+  configuration::ValidationResult judgement;
   switch (proposal.kind) {
-    case ChangeKind::replace: judgement = configuration::judge_replace(state_, proposal.text, nullptr); break;
-    case ChangeKind::patch: judgement = configuration::judge_patch(state_, proposal.text, nullptr); break;
+    case ChangeKind::replace:
+      judgement = configuration::validate_replace(state_, proposal.text, nullptr);
+      break;
+    case ChangeKind::patch: judgement = configuration::validate_patch(state_, proposal.text, nullptr); break;
     case ChangeKind::evacuate:
     case ChangeKind::readmit:
-      judgement = configuration::judge_evacuation(state_, proposal.kind, proposal.text);
+      judgement = configuration::validate_evacuation(state_, proposal.kind, proposal.text);
       break;
     case ChangeKind::membership: {
       const auto change = configuration::decode_membership(proposal.text);
@@ -163,9 +165,9 @@
       needs_barrier = false;
       break;
     }
-    case ChangeKind::nothing: changes = false; break;
+    case ChangeKind::noop: changes = false; break;
   }
-  if (judgement.already) {
+  if (judgement.already_accepted) {
     changes = false;
     needs_barrier = false;
   }
@@ -222,7 +224,7 @@
   if (highest_accepted_) {
     proposed_ = highest_accepted_->change;
   } else if (queue_.empty() || !ballot_for_first_proposal_) {
-    proposed_ = {ChangeKind::nothing, "", options_.self, ++last_number_};
+    proposed_ = {ChangeKind::noop, "", options_.self, ++last_number_};
   } else {
     const auto& proposal = queue_.front();
     proposed_ = {proposal.kind, proposal.text, options_.self, ++last_number_};
@@ -305,7 +307,7 @@
   const auto membership = state_.membership;
   const bool took_effect = configuration::apply(state_, change.kind, change.text);
   conflicts_ = 0;
-  digests_.note(state_.position, state_.log_digest);
+  digests_.record(state_.position, state_.log_digest);
   log_.push({slot, change});
   std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= slot; });
   actions_.chosen.push_back({slot, change});
@@ -380,7 +382,7 @@
   const bool first = !has_state();
   if (snapshot.voters.empty() || (snapshot.position <= state_.position && !first)) return;
   state_ = snapshot;
-  digests_.note(state_.position, state_.log_digest);
+  digests_.record(state_.position, state_.log_digest);
   log_.clear();
   std::erase_if(accepted_, [&](const auto& entry) { return entry.first <= state_.position; });
   actions_.snapshot_installed = true;
@@ -418,7 +420,7 @@
   const auto change = accepted->second.change;
   const auto digest = configuration::digest_after(state_.log_digest, static_cast<std::uint8_t>(change.kind),
                                                   change.text);
-  if (digest == configuration::kDigestNotKnown || digest != sender.log_digest) return;
+  if (digest == configuration::kUnknownDigest || digest != sender.log_digest) return;
   apply_chosen(now, sender.position, change);
 }
 
--- a/src/system/agreement/replica_quorum.cpp
+++ b/src/system/agreement/replica_quorum.cpp
@@ -196,7 +196,7 @@
     return record_divergence(from, sender.disk, sender.position);
   const auto peer = peers_.find(from);
   if (peer != peers_.end() && peer->second.diverged_disk == sender.disk &&
-      digests_.at(sender.position) != configuration::kDigestNotKnown)
+      digests_.at(sender.position) != configuration::kUnknownDigest)
     peer->second.diverged_disk.reset();
 }
 
--- a/src/system/decisions/decisions.cpp
+++ b/src/system/decisions/decisions.cpp
@@ -93,9 +93,9 @@
 
 // Chooses at random by the weights of the route's split.
 const std::string& Decisions::choose_service(const configuration::Route& route) {
-  double draw = static_cast<double>(rng_() >> 11) * 0x1.0p-53 * route.weights;
-  const auto* chosen = &route.parts.back();
-  for (const auto& split : route.parts) {
+  double draw = static_cast<double>(rng_() >> 11) * 0x1.0p-53 * route.total_weight;
+  const auto* chosen = &route.targets.back();
+  for (const auto& split : route.targets) {
     if (split.weight <= 0) continue;
     chosen = &split;
     if ((draw -= split.weight) < 0) break;
@@ -107,7 +107,7 @@
   const auto& route = *arrival.route;
   Request r;
   r.service = choose_service(route);
-  r.repeatable = route.kind != configuration::Kind::mutating;
+  r.repeatable = route.kind != configuration::RouteKind::mutating;
   r.target = from_millis(route.target_ms > 0 ? route.target_ms : kDefaultTargetMs);
   r.arrived = now;
   Duration time_left = arrival.time_left;
