--- a/src/system/proxy/control_client.cpp
+++ b/src/system/proxy/control_client.cpp
@@ -193,19 +193,19 @@
   if (std::exchange(holder_reachable_, reachable) != reachable) listener_.on_holder_reachable(reachable);
 }
 
-void ControlClient::request_units(const std::vector<decisions::UnitRequest>& orders) {
+void ControlClient::request_units(const std::vector<decisions::UnitRequest>& requests) {
   const auto link = links_.find(holder_);
   if (link == links_.end() || !link->second->up()) return listener_.on_grants_failed();
   fleet::Outgoing out;
   auto request = out.frame().initUnitRequest();
   request.setCall(unit_requests_.sent(clock_.now())), request.setTerm(term_);
-  auto list = request.initOrders(static_cast<unsigned>(orders.size()));
+  auto list = request.initOrders(static_cast<unsigned>(requests.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
-    list[i].setTenant(orders[i].tenant), list[i].setAhead(static_cast<std::uint8_t>(orders[i].ahead));
-    const auto units = static_cast<std::int32_t>(orders[i].units);
-    list[i].setUnits(orders[i].returned_window < 0 ? units : -units),
-        list[i].setWindow(orders[i].returned_window);
-    list[i].setDemand(static_cast<float>(orders[i].demand));
+    list[i].setTenant(requests[i].tenant), list[i].setAhead(static_cast<std::uint8_t>(requests[i].ahead));
+    const auto units = static_cast<std::int32_t>(requests[i].units);
+    list[i].setUnits(requests[i].returned_window < 0 ? units : -units),
+        list[i].setWindow(requests[i].returned_window);
+    list[i].setDemand(static_cast<float>(requests[i].demand));
   }
   link->second->link()->send(out.message());
 }
--- a/src/system/proxy/control_client.hpp
+++ b/src/system/proxy/control_client.hpp
@@ -48,7 +48,7 @@
   // Sets the state that registries receive for this proxy, at once and with each renewal.
   void set_state(bool ready, bool leaving);
   // Sends unit requests to the lease holder; fails at once if it is unreachable.
-  void request_units(const std::vector<decisions::UnitRequest>& orders);
+  void request_units(const std::vector<decisions::UnitRequest>& requests);
   const fleet::ChangeLog& changes() const { return changes_; }
 
  private:
--- a/src/system/proxy/proxy.cpp
+++ b/src/system/proxy/proxy.cpp
@@ -119,7 +119,7 @@
     if (const auto* to_send = std::get_if<decisions::Send>(&action)) {
       send(*to_send);
     } else if (const auto* units = std::get_if<decisions::RequestUnits>(&action)) {
-      control_client_.request_units(units->orders);
+      control_client_.request_units(units->requests);
     } else if (const auto* refusal = std::get_if<decisions::Refuse>(&action)) {
       if (const auto exchange = exchanges_.extract(refusal->request))
         exchange.mapped().session->respond(exchange.mapped().number, {refusal->status, refusal->retry_after});
