--- a/src/system/decisions/servers.cpp
+++ b/src/system/decisions/servers.cpp
@@ -101,7 +101,8 @@
   for (const auto& r : changed) {
     const auto found = by_id_.find(r.id);
     if (r.phase == fleet::Phase::GONE) {
-      if (found != by_id_.end() && r.calls >= servers_[found->second].calls) unlist(found->second);
+      if (found != by_id_.end() && r.heartbeat_sequence >= servers_[found->second].calls)
+        unlist(found->second);
       continue;
     }
     ServerHandle h = kNoServer;
@@ -123,12 +124,12 @@
       services_[r.service].servers.push_back(h);
     } else {
       h = found->second;
-      if (r.calls < servers_[h].calls) continue;
+      if (r.heartbeat_sequence < servers_[h].calls) continue;
     }
     auto& s = servers_[h];
-    if (r.calls > s.calls && r.heard > s.warmth_unknown_since) s.warmth_unknown_since = {};
+    if (r.heartbeat_sequence > s.calls && r.received_at > s.warmth_unknown_since) s.warmth_unknown_since = {};
     const bool was_cold = is_cold(now, s);
-    s.info.address = r.address, s.calls = r.calls, s.received_at = r.heard;
+    s.info.address = r.address, s.calls = r.heartbeat_sequence, s.received_at = r.received_at;
     s.cap = std::max(1u, r.cap), s.cold_until = r.cold_until;
     // A server that drains never becomes ready again.
     if (s.phase != fleet::Phase::DRAINING) s.phase = r.phase;
--- a/src/system/fleet/change_log.cpp
+++ b/src/system/fleet/change_log.cpp
@@ -19,23 +19,23 @@
   if (!failed(read)) configuration_ = std::move(value(read));
 }
 
-ChangeLog::News ChangeLog::take(configuration::State snapshot) {
+ChangeLog::Outcome ChangeLog::accept(configuration::State snapshot) {
   readmitted_.clear();
-  if (snapshot.position <= state_.position) return News::none;
+  if (snapshot.position <= state_.position) return Outcome::unchanged;
   for (const auto& zone : state_.evacuated)
     if (!std::ranges::binary_search(snapshot.evacuated, zone)) readmitted_.push_back(zone);
   state_ = std::move(snapshot);
   digests_.note(state_.position, state_.log_digest);
   recent_.clear();
   reread();
-  return News::taken;
+  return Outcome::applied;
 }
 
-ChangeLog::News ChangeLog::take(wire::ChangeBatch::Reader batch) {
+ChangeLog::Outcome ChangeLog::accept(wire::ChangeBatch::Reader batch) {
   const auto entries = batch.getEntries();
   readmitted_.clear();
   if (entries.size() > 0 && digests_.contradicts(entries[0].getPosition() - 1, batch.getDigestBefore()))
-    return News::other_history;
+    return Outcome::diverged;
   bool taken = false;
   bool document = false;
   bool gap = false;
@@ -53,8 +53,8 @@
     recent_.push(e);
   }
   if (document) reread();
-  if (gap) return News::gap;
-  return taken ? News::taken : News::none;
+  if (gap) return Outcome::gap;
+  return taken ? Outcome::applied : Outcome::unchanged;
 }
 
 }  // namespace docklift::fleet
--- a/src/system/fleet/change_log.hpp
+++ b/src/system/fleet/change_log.hpp
@@ -28,15 +28,15 @@
 
 class ChangeLog : public ChangeSource {
  public:
-  enum class News {
-    none,
-    taken,
-    gap,            // a change is missing between; ask for what comes after position()
-    other_history,  // the sender's log holds other changes than this one: something that was agreed is lost
+  enum class Outcome {
+    unchanged,
+    applied,
+    gap,       // a change is missing between; ask for what comes after position()
+    diverged,  // the sender's log holds other changes than this one: something that was agreed is lost
   };
 
-  News take(configuration::State snapshot);  // none: it is not newer than what is held
-  News take(wire::ChangeBatch::Reader batch);
+  Outcome accept(configuration::State snapshot);  // none: it is not newer than what is held
+  Outcome accept(wire::ChangeBatch::Reader batch);
   // Holds nothing any more, so that any snapshot is taken.
   void forget();
 
--- a/src/system/fleet/copy_lag.cpp
+++ b/src/system/fleet/copy_lag.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kToldFor = std::chrono::seconds(3);
 }  // namespace
 
-void CopyLag::told(Time now, std::uint64_t position, std::uint64_t own_position) {
+void CopyLag::reported(Time now, std::uint64_t position, std::uint64_t own_position) {
   newest_ = std::max(newest_, position);
   for (auto& missing : missing_)
     if (missing.position <= position) missing.last_told = now;
@@ -27,7 +27,7 @@
   while (!missing_.empty() && missing_.front().position <= own_position) missing_.pop_front();
 }
 
-std::optional<Time> CopyLag::behind_since(Time now) const {
+std::optional<Time> CopyLag::lagging_since(Time now) const {
   for (const auto& missing : missing_)
     if (now - missing.last_told <= kToldFor) return missing.first_told;
   return std::nullopt;
--- a/src/system/fleet/copy_lag.hpp
+++ b/src/system/fleet/copy_lag.hpp
@@ -13,13 +13,13 @@
 class CopyLag {
  public:
   // The core has told at `now` that it stands at `position`, while the copy stands at `own_position`.
-  void told(Time now, std::uint64_t position, std::uint64_t own_position);
+  void reported(Time now, std::uint64_t position, std::uint64_t own_position);
   // The copy has come to `own_position`.
   void advanced(std::uint64_t own_position);
 
   // Since when the copy has lacked something that it has been told of, also lately; none: it is not known to lack
   // anything.
-  std::optional<Time> behind_since(Time now) const;
+  std::optional<Time> lagging_since(Time now) const;
   // The newest position that was told.
   std::uint64_t newest() const { return newest_; }
 
--- a/src/system/fleet/members.cpp
+++ b/src/system/fleet/members.cpp
@@ -8,7 +8,7 @@
 
 namespace docklift::fleet {
 
-MemberChange ToldMembers::update(std::set<std::string> members) {
+MemberChange SentMembers::update(std::set<std::string> members) {
   MemberChange change;
   std::ranges::set_difference(members, all_, std::back_inserter(change.joined));
   std::ranges::set_difference(all_, members, std::back_inserter(change.left));
--- a/src/system/fleet/members.hpp
+++ b/src/system/fleet/members.hpp
@@ -16,7 +16,7 @@
 };
 
 // The sender's side: the members as they were told last.
-class ToldMembers {
+class SentMembers {
  public:
   // What has changed since the last call.
   MemberChange update(std::set<std::string> members);
--- a/src/system/fleet/record_requests.cpp
+++ b/src/system/fleet/record_requests.cpp
@@ -18,11 +18,11 @@
   digests_[Servers::range_of(id, kRecordRanges)] ^= mix(record);
 }
 
-void KnownRecords::take(const Server& told) {
+void KnownRecords::update(const Server& told) {
   const auto found = records_.find(told.id);
   if (found != records_.end()) {
     const auto& known = found->second;
-    if (told.calls < known.calls) return;
+    if (told.heartbeat_sequence < known.heartbeat_sequence) return;
     digests_.toggle(told.id, known.address, known.phase);
   }
   if (told.phase == Phase::GONE) {
@@ -31,7 +31,7 @@
   }
   const bool drained = found != records_.end() && found->second.phase == Phase::DRAINING;
   const auto phase = drained ? Phase::DRAINING : told.phase;  // a drain is not taken back
-  records_[told.id] = {told.address, phase, told.calls};
+  records_[told.id] = {told.address, phase, told.heartbeat_sequence};
   digests_.toggle(told.id, told.address, phase);
 }
 
--- a/src/system/fleet/record_requests.hpp
+++ b/src/system/fleet/record_requests.hpp
@@ -33,7 +33,7 @@
 // The records as they were told last.
 class KnownRecords {
  public:
-  void take(const Server& told);  // an older record is passed over
+  void update(const Server& told);  // an older record is passed over
   const std::vector<std::uint64_t>& digests() const { return digests_.all(); }
   std::size_t size() const { return records_.size(); }
 
@@ -41,7 +41,7 @@
   struct Record {
     std::string address;
     Phase phase = Phase::READY;
-    std::uint64_t calls = 0;
+    std::uint64_t heartbeat_sequence = 0;
   };
   tsl::robin_map<std::string, Record> records_;  // by id, without those that are gone
   RecordDigests digests_;
--- a/src/system/fleet/records.cpp
+++ b/src/system/fleet/records.cpp
@@ -18,27 +18,31 @@
 
 }  // namespace
 
-Merged Servers::merge(const Server& s) {
+MergeResult Servers::merge(const Server& s) {
   const auto [it, fresh] = all_.try_emplace(s.id, s);
-  if (fresh) return Merged::changed;
+  if (fresh) return MergeResult::changed;
   auto& known = it->second;
-  if (known.phase == Phase::GONE || s.from_cache) return Merged::nothing;
-  const bool as_new = s.calls > known.calls || (s.calls == known.calls && s.phase >= known.phase);
+  if (known.phase == Phase::GONE || s.from_cache) return MergeResult::unchanged;
+  const bool as_new = s.heartbeat_sequence > known.heartbeat_sequence ||
+                      (s.heartbeat_sequence == known.heartbeat_sequence && s.phase >= known.phase);
   const bool confirms_cache = known.from_cache && s.phase != Phase::GONE && as_new;
   if (!confirms_cache && s.phase != Phase::GONE &&
-      (s.calls < known.calls || (s.calls == known.calls && s.phase <= known.phase))) {
-    if (s.calls == known.calls && s.heard > known.heard) return known.heard = s.heard, Merged::heard;
-    return Merged::nothing;
+      (s.heartbeat_sequence < known.heartbeat_sequence ||
+       (s.heartbeat_sequence == known.heartbeat_sequence && s.phase <= known.phase))) {
+    if (s.heartbeat_sequence == known.heartbeat_sequence && s.received_at > known.received_at)
+      return known.received_at = s.received_at, MergeResult::refreshed;
+    return MergeResult::unchanged;
   }
   const bool changed = known.phase != s.phase || known.address != s.address || known.service != s.service ||
-                       known.cap != s.cap || cold_differs(known, s, s.heard);
+                       known.cap != s.cap || cold_differs(known, s, s.received_at);
   if (s.phase == Phase::GONE) {  // a leave tells the id alone
-    known.phase = Phase::GONE, known.heard = s.heard, known.calls = std::max(known.calls, s.calls);
+    known.phase = Phase::GONE, known.received_at = s.received_at,
+    known.heartbeat_sequence = std::max(known.heartbeat_sequence, s.heartbeat_sequence);
     known.from_cache = false;
-    return Merged::changed;
+    return MergeResult::changed;
   }
   known = s;
-  return changed ? Merged::changed : Merged::heard;
+  return changed ? MergeResult::changed : MergeResult::refreshed;
 }
 
 const Server* Servers::find(const std::string& id) const {
@@ -51,10 +55,10 @@
   for (auto it = all_.begin(); it != all_.end();) {
     auto& s = it->second;
     if (s.phase == Phase::GONE) {
-      it = now - s.heard > kept ? all_.erase(it) : std::next(it);
+      it = now - s.received_at > kept ? all_.erase(it) : std::next(it);
       continue;
     }
-    if (silence > Duration{} && now - s.heard > silence) {
+    if (silence > Duration{} && now - s.received_at > silence) {
       lost.push_back(s);
       it = all_.erase(it);  // not a tombstone: it comes back with its next beat
       continue;
@@ -76,28 +80,29 @@
   return out;
 }
 
-Merged Nodes::merge(const Node& n) {
+MergeResult Nodes::merge(const Node& n) {
   if (const auto ended = ended_.find(n.id);
-      ended != ended_.end() && !all_.contains(n.id) && n.life < ended->second)
-    return Merged::nothing;
+      ended != ended_.end() && !all_.contains(n.id) && n.incarnation < ended->second)
+    return MergeResult::unchanged;
   const auto [it, fresh] = all_.try_emplace(n.id, n);
-  if (fresh) return Merged::changed;
+  if (fresh) return MergeResult::changed;
   auto& known = it->second;
-  if (n.life < known.life || (n.life == known.life && n.stamp <= known.stamp)) return Merged::nothing;
-  const bool changed = n.life != known.life || n.ready != known.ready || n.leaving != known.leaving ||
-                       n.address != known.address;
+  if (n.incarnation < known.incarnation || (n.incarnation == known.incarnation && n.stamp <= known.stamp))
+    return MergeResult::unchanged;
+  const bool changed = n.incarnation != known.incarnation || n.ready != known.ready ||
+                       n.leaving != known.leaving || n.address != known.address;
   known = n;
-  return changed ? Merged::changed : Merged::heard;
+  return changed ? MergeResult::changed : MergeResult::refreshed;
 }
 
 std::vector<Node> Nodes::expire(Time now, Duration lease) {
   std::vector<Node> out;
   for (auto it = all_.begin(); it != all_.end();) {
-    if (now - it->second.heard <= lease) {
+    if (now - it->second.received_at <= lease) {
       ++it;
       continue;
     }
-    ended_[it->first] = it->second.life;
+    ended_[it->first] = it->second.incarnation;
     out.push_back(it->second);
     it = all_.erase(it);
   }
@@ -107,31 +112,32 @@
 
 void put(wire::Server::Builder to, const Server& s, Time now) {
   to.setId(s.id), to.setService(s.service), to.setAddress(s.address), to.setZone(s.zone);
-  to.setCap(s.cap), to.setPhase(s.phase), to.setCalls(s.calls);
+  to.setCap(s.cap), to.setPhase(s.phase), to.setCalls(s.heartbeat_sequence);
   to.setColdMs(s.cold_until > now ? millis(s.cold_until - now) : 0);
-  to.setAgeMs(millis(now - s.heard));
+  to.setAgeMs(millis(now - s.received_at));
 }
 
 Server get(wire::Server::Reader r, Time now) {
   Server s;
   s.id = r.getId().cStr(), s.service = r.getService().cStr(), s.address = r.getAddress().cStr();
-  s.zone = r.getZone().cStr(), s.cap = r.getCap(), s.phase = r.getPhase(), s.calls = r.getCalls();
-  s.heard = now - from_millis(r.getAgeMs());
+  s.zone = r.getZone().cStr(), s.cap = r.getCap(), s.phase = r.getPhase(),
+  s.heartbeat_sequence = r.getCalls();
+  s.received_at = now - from_millis(r.getAgeMs());
   s.cold_until = r.getColdMs() > 0 ? now + from_millis(r.getColdMs()) : Time{};
   return s;
 }
 
 void put(wire::Node::Builder to, const Node& n, Time now) {
-  to.setId(n.id), to.setLife(n.life), to.setStamp(n.stamp), to.setRole(n.role), to.setZone(n.zone);
+  to.setId(n.id), to.setLife(n.incarnation), to.setStamp(n.stamp), to.setRole(n.role), to.setZone(n.zone);
   to.setAddress(n.address), to.setReady(n.ready), to.setLeaving(n.leaving),
-      to.setAgeMs(millis(now - n.heard)), to.setTerm(n.term);
+      to.setAgeMs(millis(now - n.received_at)), to.setTerm(n.term);
 }
 
 Node get(wire::Node::Reader r, Time now) {
   Node n;
-  n.id = r.getId().cStr(), n.life = r.getLife(), n.stamp = r.getStamp(), n.role = r.getRole();
+  n.id = r.getId().cStr(), n.incarnation = r.getLife(), n.stamp = r.getStamp(), n.role = r.getRole();
   n.zone = r.getZone().cStr(), n.address = r.getAddress().cStr();
-  n.ready = r.getReady(), n.leaving = r.getLeaving(), n.heard = now - from_millis(r.getAgeMs());
+  n.ready = r.getReady(), n.leaving = r.getLeaving(), n.received_at = now - from_millis(r.getAgeMs());
   n.term = r.getTerm();
   return n;
 }
--- a/src/system/fleet/records.hpp
+++ b/src/system/fleet/records.hpp
@@ -22,27 +22,27 @@
   std::string id, service, address, zone;
   std::uint32_t cap = 1;
   Phase phase = Phase::READY;
-  std::uint64_t calls = 0;
-  Time heard{}, cold_until{};
+  std::uint64_t heartbeat_sequence = 0;
+  Time received_at{}, cold_until{};
   bool from_cache = false;  // known from an earlier life of this registry; nothing was heard in this one
 };
 
 struct Node {
   std::string id, zone, address;
-  std::uint64_t life = 0, stamp = 0, term = 0;
+  std::uint64_t incarnation = 0, stamp = 0, term = 0;
   Role role = Role::PROXY;
   bool ready = false, leaving = false;
-  Time heard{};
+  Time received_at{};
 };
 
 // What a merge has changed: nothing; only that it was heard again; or what others must know at once.
-enum class Merged { nothing, heard, changed };
+enum class MergeResult { unchanged, refreshed, changed };
 
 class Servers {
  public:
   // The record with the higher `calls` holds, of equal ones the later phase; a server that is gone never
   // comes back under its id. A record from the cache yields to any that is as new.
-  Merged merge(const Server& s);
+  MergeResult merge(const Server& s);
   const Server* find(const std::string& id) const;
   // Forgets servers that were gone for `kept`, and calls gone those not heard of for `silence` (0: none);
   // these are returned.
@@ -58,7 +58,7 @@
 
 class Nodes {
  public:
-  Merged merge(const Node& n);
+  MergeResult merge(const Node& n);
   // Members that have not renewed for `lease` are dropped; these are returned.
   std::vector<Node> expire(Time now, Duration lease);
   const std::map<std::string, Node>& all() const { return all_; }
--- a/src/system/proxy/control_client.cpp
+++ b/src/system/proxy/control_client.cpp
@@ -27,7 +27,7 @@
       unit_requests_(kMaxUnitRequests),
       timer_(io.get_executor()) {
   self_.id = settings.hostname, self_.zone = settings.zone, self_.role = fleet::Role::PROXY;
-  self_.life = new_incarnation();
+  self_.incarnation = new_incarnation();
   if (const auto http = settings.listen.find("http"); http != settings.listen.end())
     self_.address = http->second;
 }
@@ -90,7 +90,7 @@
       io_, endpoint, LinkLimits{}, [this, ip](wire::Frame::Reader frame) { on_frame(ip, frame); },
       [this, ip](const std::shared_ptr<Link>& link) {
         fleet::Outgoing out;
-        self_.stamp++, self_.heard = clock_.now();
+        self_.stamp++, self_.received_at = clock_.now();
         fleet::put_hello(out, self_, clock_.now());
         link->send(out.message());
         follower_.on_linked(ip);
@@ -100,7 +100,7 @@
       },
       [this, ip](const Failure& error) {
         log_.debug(error.shown());
-        follower_.on_lost(clock_.now(), ip);
+        follower_.on_source_lost(clock_.now(), ip);
         failing_since_.try_emplace(ip, clock_.now());
         if (proxies_.forget(ip)) listener_.on_proxies(proxies_.all());
         request_records(record_requests_.lost(clock_.now(), ip));
@@ -123,7 +123,7 @@
 
 void ControlClient::renew() {
   fleet::Outgoing out;
-  self_.stamp++, self_.heard = clock_.now();
+  self_.stamp++, self_.received_at = clock_.now();
   fleet::put_hello(out, self_, clock_.now());
   const auto token = new_confirm_token();
   for (auto& [ip, dialer] : links_) {
@@ -150,10 +150,10 @@
   const auto sent = confirm_tokens_.of(confirmed.getToken());
   if (!sent) return;
   const auto position = confirmed.getPosition();
-  follower_.on_core_at(clock_.now(), position);
+  follower_.on_core_position(clock_.now(), position);
   notify_lag();
   if (!confirmation_.answered(*sent, position, changes_.position()))
-    return follower_.on_core_behind(position);
+    return follower_.on_core_regressed(position);
   notify_confirmed();
 }
 
@@ -172,7 +172,7 @@
   listener_.on_confirmed(*confirmed_at);
 }
 
-void ControlClient::notify_lag() { listener_.on_lagging(follower_.behind_since(clock_.now()).has_value()); }
+void ControlClient::notify_lag() { listener_.on_lagging(follower_.lagging_since(clock_.now()).has_value()); }
 
 void ControlClient::tick() {
   timer_.expires_after(kRenewalInterval);
@@ -180,7 +180,7 @@
     if (error || stopped_) return;
     renew();
     choose_registries();
-    follower_.watch(clock_.now());
+    follower_.check_progress(clock_.now());
     request_records(record_requests_.tick(clock_.now()));
     notify_lag();
     tick();
@@ -216,7 +216,8 @@
   switch (frame.which()) {
     case wire::Frame::CHANGES:
     case wire::Frame::SNAPSHOT_PART:
-      if (follower_.on_frame(clock_.now(), ip, frame) == fleet::ChangeLog::News::taken) on_log_advanced();
+      if (follower_.on_frame(clock_.now(), ip, frame) == fleet::ChangeLog::Outcome::applied)
+        on_log_advanced();
       break;
     case wire::Frame::CONFIRMED: on_confirmed(frame.getConfirmed()); break;
     case wire::Frame::FLEET: on_fleet(ip, frame.getFleet()); break;
@@ -257,7 +258,7 @@
   std::vector<fleet::Server> changed;
   for (const auto server : fleet_state.getServers()) {
     changed.push_back(fleet::get(server, now));
-    records_.take(changed.back());
+    records_.update(changed.back());
   }
   fleet::RecordRequests::Registries next;
   if (fleet_state.getComplete()) next = record_requests_.answered(ip);
@@ -294,7 +295,7 @@
     listener_.on_new_holder(term_);
     update_holder_reachability();
   }
-  if (fleet_state.getPosition() > changes_.position() + 1) follower_.on_newer(ip);
+  if (fleet_state.getPosition() > changes_.position() + 1) follower_.on_newer_position(ip);
 }
 
 }  // namespace docklift::proxy
--- a/src/system/registry/handlers.cpp
+++ b/src/system/registry/handlers.cpp
@@ -30,7 +30,7 @@
   if (const auto id = after(call.path(), "/Instances.Leave/")) {
     fleet::Server s;
     if (const auto* known = registry_.servers().find(*id)) s = *known;
-    s.id = *id, s.phase = fleet::Phase::GONE, s.heard = now;
+    s.id = *id, s.phase = fleet::Phase::GONE, s.received_at = now;
     registry_.heard(s);
     respond(acknowledge_end());
     return true;
@@ -42,9 +42,9 @@
   try {
     fleet::Server s;
     s.id = *id, s.service = text("svc"), s.address = text("addr"), s.zone = text("az");
-    s.cap = std::max(1u, body.value("cap", 1u)), s.calls = body.value("calls", std::uint64_t{0});
+    s.cap = std::max(1u, body.value("cap", 1u)), s.heartbeat_sequence = body.value("calls", std::uint64_t{0});
     s.phase = text("phase") == "draining" ? fleet::Phase::DRAINING : fleet::Phase::READY;
-    s.heard = now;
+    s.received_at = now;
     const double cold = body.value("warm_left_ms", 0.0);
     s.cold_until = cold > 0 ? now + from_millis(cold) : Time{};
     if (s.service.empty() || failed(endpoint_of(s.address))) {
--- a/src/system/registry/registry.cpp
+++ b/src/system/registry/registry.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using fleet::Merged;
+using fleet::MergeResult;
 
 constexpr Duration kTick = 100ms;
 constexpr std::uint64_t kBarrierTicks = 5;  // from one read barrier to the next
@@ -36,7 +36,7 @@
       news_timer_(io.get_executor()),
       timer_(io.get_executor()) {
   self_.id = settings.hostname, self_.zone = settings.zone, self_.address = settings.bind_ip;
-  self_.role = fleet::Role::REGISTRY, self_.life = new_incarnation(), self_.ready = true;
+  self_.role = fleet::Role::REGISTRY, self_.incarnation = new_incarnation(), self_.ready = true;
 }
 
 Registry::~Registry() {
@@ -105,7 +105,7 @@
 
 void Registry::send_hello(Link& link) {
   fleet::Outgoing out;
-  self_.heard = clock_.now();
+  self_.received_at = clock_.now();
   fleet::put_hello(out, self_, clock_.now());
   link.send(out.message());
 }
@@ -123,7 +123,7 @@
       },
       [this, ip](const Failure& why) {
         log_.debug(why.shown());
-        follower_.on_lost(clock_.now(), ip);
+        follower_.on_source_lost(clock_.now(), ip);
         for (auto& [call, p] : pending_)
           if (p.store == ip) p.store.clear(), send_pending(call, p);
       });
@@ -198,7 +198,7 @@
   const Time now = clock_.now();
   if (hello.getReadsCompressed()) link->compress();
   auto node = fleet::get(hello, now);
-  node.heard = now;
+  node.received_at = now;
   lease_.observe_term(node.term);
   if (node.role == fleet::Role::PROXY && !proxies_.contains(link.get())) {
     auto& p = proxies_[link.get()] = {link, node.id, {}, {}, false, false};
@@ -211,8 +211,8 @@
     dial(node.address);
   }
   const auto merged = nodes_.merge(node);
-  if (merged == Merged::changed) members_changed_ = true, gossip({}, {node});
-  if (merged == Merged::heard) heard_nodes_[node.id] = node;
+  if (merged == MergeResult::changed) members_changed_ = true, gossip({}, {node});
+  if (merged == MergeResult::refreshed) heard_nodes_[node.id] = node;
 }
 
 void Registry::on_lease_request(Link& link, wire::LeaseRequest::Reader request) {
@@ -321,7 +321,7 @@
   ++ticks_;
   keep_lease(now);
   if (ticks_ % kBarrierTicks == 0) {
-    follower_.watch(now);
+    follower_.check_progress(now);
     begin_read_barrier();
   }
   feed_.expire(now);
--- a/src/system/registry/registry.hpp
+++ b/src/system/registry/registry.hpp
@@ -92,7 +92,7 @@
   void on_peer_frame(const std::string& ip, wire::Frame::Reader frame);
   void on_gossip(wire::Gossip::Reader g, const std::shared_ptr<Link>& answer_on);
   void on_unit_request(Proxy& p, wire::UnitRequest::Reader request);
-  void after_news(fleet::ChangeLog::News news);
+  void after_news(fleet::ChangeLog::Outcome news);
   void bring_up_to_date(Proxy& proxy);
   void send_to_store(const std::string& ip, fleet::Outgoing& out);
   void dial(const std::string& ip);
@@ -169,7 +169,7 @@
   std::uint64_t counting_term_ = 0;
   std::uint64_t told_term_ = 0;
   bool members_changed_ = false, servers_changed_ = false;
-  fleet::ToldMembers told_proxies_;
+  fleet::SentMembers told_proxies_;
   std::vector<std::string> told_registries_;
   std::map<std::string, fleet::Server> server_news_;  // by id, to be told to the proxies
   std::unique_ptr<RecordCache> record_cache_;
--- a/src/system/registry/registry_changes.cpp
+++ b/src/system/registry/registry_changes.cpp
@@ -38,8 +38,8 @@
   if (feed_.next(clock_.now(), proxy.changes, changes_, out)) proxy.link->send(out.message());
 }
 
-void Registry::after_news(fleet::ChangeLog::News news) {
-  if (news != fleet::ChangeLog::News::taken) return;
+void Registry::after_news(fleet::ChangeLog::Outcome news) {
+  if (news != fleet::ChangeLog::Outcome::applied) return;
   const bool was_confirmed = confirmed_once();
   confirmation_.advanced(changes_.position());
   if (!was_confirmed && confirmed_once()) {
@@ -106,10 +106,10 @@
 }
 
 void Registry::end_read_barrier(Time begun, std::uint64_t position) {
-  follower_.on_core_at(clock_.now(), position);
+  follower_.on_core_position(clock_.now(), position);
   const bool was_confirmed = confirmed_once();
   if (!confirmation_.answered(begun, position, changes_.position()))
-    return follower_.on_core_behind(position);
+    return follower_.on_core_regressed(position);
   if (!was_confirmed && confirmed_once()) on_first_confirmation();
   for (auto& [link, p] : proxies_) {
     const auto token = p.confirm_requests.answerable(begun);
--- a/src/system/registry/registry_records.cpp
+++ b/src/system/registry/registry_records.cpp
@@ -20,16 +20,16 @@
 
 }  // namespace
 
-using fleet::Merged;
+using fleet::MergeResult;
 
 void Registry::heard(const fleet::Server& server) {
   const auto merged = servers_.merge(server);
   const auto* s = servers_.find(server.id);
   if (!s) return;
-  if (merged == Merged::changed) {
+  if (merged == MergeResult::changed) {
     gossip({*s}, {});
     tell_servers({*s});
-  } else if (merged == Merged::heard) {
+  } else if (merged == MergeResult::refreshed) {
     heard_servers_[s->id] = *s;
     if (retold_.erase(s->id) > 0) tell_servers({*s});
   }
@@ -41,13 +41,13 @@
   for (const auto r : g.getServers()) {
     const auto s = fleet::get(r, now);
     const auto merged = servers_.merge(s);
-    if (merged == Merged::changed || (merged == Merged::heard && retold_.erase(s.id) > 0))
+    if (merged == MergeResult::changed || (merged == MergeResult::refreshed && retold_.erase(s.id) > 0))
       if (const auto* known = servers_.find(s.id)) changed.push_back(*known);
   }
   for (const auto r : g.getNodes()) {
     const auto n = fleet::get(r, now);
     if (n.role == fleet::Role::PROXY) merged_members_ = true;
-    if (now - n.heard <= kLease && nodes_.merge(n) == Merged::changed) {
+    if (now - n.received_at <= kLease && nodes_.merge(n) == MergeResult::changed) {
       members_changed_ = true;
       if (n.role == fleet::Role::REGISTRY) dial(n.address);
     }
@@ -219,7 +219,7 @@
     capnp::FlatArrayMessageReader reader(kj::arrayPtr(words.data(), words.size()));
     for (const auto r : reader.getRoot<wire::Frame>().getGossip().getServers()) {
       auto s = fleet::get(r, clock_.now());
-      s.heard = clock_.now(), s.from_cache = true;
+      s.received_at = clock_.now(), s.from_cache = true;
       servers_.merge(s);
     }
   } catch (const kj::Exception& x) {
@@ -234,7 +234,7 @@
   for (auto& [id, s] : heard_servers_) servers.push_back(std::move(s));
   for (auto& [id, n] : heard_nodes_) nodes.push_back(std::move(n));
   heard_servers_.clear(), heard_nodes_.clear();
-  self_.stamp++, self_.heard = clock_.now();
+  self_.stamp++, self_.received_at = clock_.now();
   nodes_.merge(self_);
   nodes.push_back(self_);
   gossip(servers, nodes);
--- a/src/system/transfer/change_follower.cpp
+++ b/src/system/transfer/change_follower.cpp
@@ -24,7 +24,7 @@
   follow(source);
 }
 
-void ChangeFollower::on_lost(Time now, const std::string& source) {
+void ChangeFollower::on_source_lost(Time now, const std::string& source) {
   sources_.erase(source);
   carry_out(receiver_.on_source_lost(now, source));
   const bool was_pulled = pulled_ == source;
@@ -32,28 +32,28 @@
   if ((was_pulled && !receiver_.fetching()) || receiver_.paused()) follow_all();
 }
 
-void ChangeFollower::on_newer(const std::string& source) {
+void ChangeFollower::on_newer_position(const std::string& source) {
   if (!catching_up()) follow(source);
 }
 
-ChangeFollower::News ChangeFollower::on_frame(Time now, const std::string& source,
-                                              wire::Frame::Reader frame) {
-  auto news = News::none;
+ChangeFollower::Outcome ChangeFollower::on_frame(Time now, const std::string& source,
+                                                 wire::Frame::Reader frame) {
+  auto news = Outcome::unchanged;
   if (frame.isChanges()) news = on_batch(source, frame.getChanges());
   if (frame.isSnapshotPart()) news = on_part(now, source, frame.getSnapshotPart());
   lag_.advanced(changes_.position());
   return news;
 }
 
-ChangeFollower::News ChangeFollower::on_batch(const std::string& source, wire::ChangeBatch::Reader batch) {
-  const auto news = changes_.take(batch);
-  if (news == News::other_history) return on_other_history(source);
+ChangeFollower::Outcome ChangeFollower::on_batch(const std::string& source, wire::ChangeBatch::Reader batch) {
+  const auto news = changes_.accept(batch);
+  if (news == Outcome::diverged) return on_other_history(source);
   const bool was_fetching = receiver_.fetching();
   receiver_.on_position(changes_.position());
   const bool was_pulled = pulled_ == source;
   if (was_pulled) pulled_.clear();
-  if (news == News::gap) {
-    on_newer(source);
+  if (news == Outcome::gap) {
+    on_newer_position(source);
   } else if (changes_.position() < batch.getNewest()) {
     if (!catching_up()) {
       pulled_ = source;
@@ -66,13 +66,13 @@
 }
 
 // The sources hold what the core has agreed on: what is here is given up for theirs.
-ChangeFollower::News ChangeFollower::on_other_history(const std::string& source) {
+ChangeFollower::Outcome ChangeFollower::on_other_history(const std::string& source) {
   give_up("the log of " + source + " holds other changes than the " + std::to_string(changes_.position()) +
           " here");
-  return News::other_history;
+  return Outcome::diverged;
 }
 
-void ChangeFollower::on_core_behind(std::uint64_t position) {
+void ChangeFollower::on_core_regressed(std::uint64_t position) {
   give_up("the core stands at change " + std::to_string(position) + ", before the " +
           std::to_string(changes_.position()) + " here");
 }
@@ -84,32 +84,32 @@
   follow_all();
 }
 
-ChangeFollower::News ChangeFollower::on_part(Time now, const std::string& source,
-                                             wire::SnapshotPart::Reader frame) {
+ChangeFollower::Outcome ChangeFollower::on_part(Time now, const std::string& source,
+                                                wire::SnapshotPart::Reader frame) {
   const auto part = get(frame);
   if (pulled_ == source) pulled_.clear();
   auto step = receiver_.on_part(now, source, part, changes_.position() + 1);
   carry_out(step);
   // An offer of what has come by other means: the source waits for a word after it.
-  if (part.id.position <= changes_.position() && part.offset == 0) on_newer(source);
+  if (part.id.position <= changes_.position() && part.offset == 0) on_newer_position(source);
   if (step.failed) follow_all();
-  if (!step.whole) return News::none;
-  const auto news = changes_.take(std::move(*step.whole));
+  if (!step.whole) return Outcome::unchanged;
+  const auto news = changes_.accept(std::move(*step.whole));
   follow_all();
   return news;
 }
 
 // ---- the watch on what is missing
 
-void ChangeFollower::on_core_at(Time now, std::uint64_t position) {
-  lag_.told(now, position, changes_.position());
+void ChangeFollower::on_core_position(Time now, std::uint64_t position) {
+  lag_.reported(now, position, changes_.position());
 }
 
-void ChangeFollower::watch(Time now) {
+void ChangeFollower::check_progress(Time now) {
   if (changes_.position() != seen_position_ || receiver_.received() != seen_bytes_) progress_at_ = now;
   seen_position_ = changes_.position();
   seen_bytes_ = receiver_.received();
-  const auto since = lag_.behind_since(now);
+  const auto since = lag_.lagging_since(now);
   if (!since) {
     if (std::exchange(lag_noted_, false))
       note_("has caught up with change " + std::to_string(seen_position_));
--- a/src/system/transfer/change_follower.hpp
+++ b/src/system/transfer/change_follower.hpp
@@ -15,36 +15,36 @@
 
 class ChangeFollower {
  public:
-  using News = fleet::ChangeLog::News;
+  using Outcome = fleet::ChangeLog::Outcome;
   using Send = std::function<void(const std::string& source, fleet::Outgoing& out)>;
   using Note = std::function<void(const std::string& note)>;  // for the log
 
   ChangeFollower(Send send, Note note) : send_(std::move(send)), note_(std::move(note)) {}
 
   void on_linked(const std::string& source);
-  void on_lost(Time now, const std::string& source);
+  void on_source_lost(Time now, const std::string& source);
   // A frame of changes or of a snapshot; other frames are passed over. `taken`: changes() has moved.
-  News on_frame(Time now, const std::string& source, wire::Frame::Reader frame);
+  Outcome on_frame(Time now, const std::string& source, wire::Frame::Reader frame);
   // The source has told of changes that have not come from it.
-  void on_newer(const std::string& source);
+  void on_newer_position(const std::string& source);
 
   // The core has told that it stands at `position`, before what is here: this copy is given up for the core's.
-  void on_core_behind(std::uint64_t position);
+  void on_core_regressed(std::uint64_t position);
 
   // A majority has told that the core stands at `position`.
-  void on_core_at(Time now, std::uint64_t position);
+  void on_core_position(Time now, std::uint64_t position);
   // To be called about each half second: a copy that stays behind what the core has told is noted, and where nothing
   // comes any more all sources are asked anew.
-  void watch(Time now);
+  void check_progress(Time now);
   // Since when the copy has been known to lack something; none: it is not known to.
-  std::optional<Time> behind_since(Time now) const { return lag_.behind_since(now); }
+  std::optional<Time> lagging_since(Time now) const { return lag_.lagging_since(now); }
 
   const fleet::ChangeLog& changes() const { return changes_; }
 
  private:
-  News on_batch(const std::string& source, wire::ChangeBatch::Reader batch);
-  News on_part(Time now, const std::string& source, wire::SnapshotPart::Reader frame);
-  News on_other_history(const std::string& source);
+  Outcome on_batch(const std::string& source, wire::ChangeBatch::Reader batch);
+  Outcome on_part(Time now, const std::string& source, wire::SnapshotPart::Reader frame);
+  Outcome on_other_history(const std::string& source);
   void give_up(const std::string& why);
   void carry_out(const SnapshotReceiver::Step& step);
   void note_lag(Time now, Time since);
--- a/tests/system/contact_test.cpp
+++ b/tests/system/contact_test.cpp
@@ -189,29 +189,29 @@
 BOOST_AUTO_TEST_CASE(given_a_copy_when_the_core_tells_more_than_it_holds_then_it_is_behind_until_it_has_it) {
   fleet::CopyLag lag;
   const Time start{1h};
-  BOOST_TEST(!lag.behind_since(start));
-  lag.told(start, 5, 5);
-  BOOST_TEST(!lag.behind_since(start));
-  lag.told(start + 1s, 7, 5);
-  lag.told(start + 2s, 9, 5);
-  BOOST_TEST((lag.behind_since(start + 2s) == start + 1s));
+  BOOST_TEST(!lag.lagging_since(start));
+  lag.reported(start, 5, 5);
+  BOOST_TEST(!lag.lagging_since(start));
+  lag.reported(start + 1s, 7, 5);
+  lag.reported(start + 2s, 9, 5);
+  BOOST_TEST((lag.lagging_since(start + 2s) == start + 1s));
   lag.advanced(7);
-  BOOST_TEST((lag.behind_since(start + 2s) == start + 2s));
-  lag.told(start + 3s, 8, 7);  // an answer of another registry, late
-  BOOST_TEST((lag.behind_since(start + 3s) == start + 2s));
+  BOOST_TEST((lag.lagging_since(start + 2s) == start + 2s));
+  lag.reported(start + 3s, 8, 7);  // an answer of another registry, late
+  BOOST_TEST((lag.lagging_since(start + 3s) == start + 2s));
   lag.advanced(9);
-  BOOST_TEST(!lag.behind_since(start + 3s));
+  BOOST_TEST(!lag.lagging_since(start + 3s));
 }
 
 BOOST_AUTO_TEST_CASE(given_a_core_that_tells_no_more_of_a_change_then_the_copy_does_not_lack_it_for_ever) {
   fleet::CopyLag lag;
   const Time start{1h};
-  lag.told(start, 9, 5);
-  BOOST_TEST((lag.behind_since(start + 3s) == start));
-  lag.told(start + 3s, 6, 6);  // what was told before is lost
-  BOOST_TEST(!lag.behind_since(start + 4s));
-  lag.told(start + 5s, 9, 6);  // or it is there after all
-  BOOST_TEST((lag.behind_since(start + 5s) == start));
+  lag.reported(start, 9, 5);
+  BOOST_TEST((lag.lagging_since(start + 3s) == start));
+  lag.reported(start + 3s, 6, 6);  // what was told before is lost
+  BOOST_TEST(!lag.lagging_since(start + 4s));
+  lag.reported(start + 5s, 9, 6);  // or it is there after all
+  BOOST_TEST((lag.lagging_since(start + 5s) == start));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/decisions_test.cpp
+++ b/tests/system/decisions_test.cpp
@@ -84,8 +84,8 @@
   ProxyFixture f;
   f.report_server("one", "a1");
   fleet::Server late;
-  late.id = "one", late.service = "s", late.address = "10.0.0.9:80", late.zone = "a1", late.calls = 0,
-  late.phase = fleet::Phase::GONE;
+  late.id = "one", late.service = "s", late.address = "10.0.0.9:80", late.zone = "a1",
+  late.heartbeat_sequence = 0, late.phase = fleet::Phase::GONE;
   f.d.update_servers(f.now, {late});
   BOOST_TEST(f.server_of(f.only(f.request())) == "one");
 }
--- a/tests/system/decisions_world.hpp
+++ b/tests/system/decisions_world.hpp
@@ -55,7 +55,7 @@
                      fleet::Phase phase = fleet::Phase::READY, Duration cold = {}) {
     fleet::Server r;
     r.id = server, r.service = "s", r.address = "10.0.0.1:80", r.zone = zone, r.cap = 4, r.phase = phase,
-    r.calls = ++calls, r.heard = now;
+    r.heartbeat_sequence = ++calls, r.received_at = now;
     r.cold_until = cold > Duration{} ? now + cold : Time{};
     d.update_servers(now, {r});
   }
--- a/tests/system/link_test.cpp
+++ b/tests/system/link_test.cpp
@@ -94,7 +94,7 @@
     server.id = "i-" + std::to_string(id % 10'000'000'000),
     server.service = "service-" + std::to_string(i % 3);
     server.address = "10.4." + std::to_string(id % 256) + "." + std::to_string(i % 256) + ":8421";
-    server.zone = "zone-" + std::to_string(i % 9), server.cap = 6, server.calls = i;
+    server.zone = "zone-" + std::to_string(i % 9), server.cap = 6, server.heartbeat_sequence = i;
     fleet::put(list[i], server, Time{});
   }
   return EncodedFrame(out.message());
--- a/tests/system/members_test.cpp
+++ b/tests/system/members_test.cpp
@@ -9,14 +9,14 @@
 
 using fleet::MemberChange;
 using fleet::MemberViews;
-using fleet::ToldMembers;
+using fleet::SentMembers;
 using Names = std::set<std::string>;
 using NameList = std::vector<std::string>;
 
 BOOST_AUTO_TEST_SUITE(members)
 
 BOOST_AUTO_TEST_CASE(given_members_told_before_when_some_come_and_go_then_only_those_are_told) {
-  ToldMembers told;
+  SentMembers told;
   const auto first = told.update({"a", "b"});
   BOOST_TEST(first.joined == (NameList{"a", "b"}), boost::test_tools::per_element());
   const auto second = told.update({"b", "c"});
@@ -60,7 +60,7 @@
   constexpr int kSteps = 400;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
-    std::map<std::string, ToldMembers> registries;
+    std::map<std::string, SentMembers> registries;
     std::map<std::string, Names> linked;
     MemberViews views;
     NameList told;  // as the last change of all() left it
@@ -95,7 +95,7 @@
 BOOST_AUTO_TEST_CASE(given_three_hundred_members_when_130_restart_then_each_is_told_260_names) {
   Names members;
   for (int i = 0; i < 300; ++i) members.insert("zone-1/edge-" + std::to_string(i));
-  ToldMembers told;
+  SentMembers told;
   told.update(members);
   std::size_t names = 0;
   const auto tell = [&] {
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -229,8 +229,8 @@
 
 fleet::Server server(const std::string& id, std::uint64_t calls, fleet::Phase phase = fleet::Phase::READY) {
   fleet::Server s;
-  s.id = id, s.service = "s", s.address = "10.0.0.1:1", s.zone = "z", s.calls = calls, s.phase = phase,
-  s.heard = Time{1h} + 1s * static_cast<int>(calls);
+  s.id = id, s.service = "s", s.address = "10.0.0.1:1", s.zone = "z", s.heartbeat_sequence = calls,
+  s.phase = phase, s.received_at = Time{1h} + 1s * static_cast<int>(calls);
   return s;
 }
 
@@ -260,32 +260,33 @@
 BOOST_AUTO_TEST_CASE(given_a_record_from_the_cache_when_one_as_new_is_heard_then_that_one_holds) {
   fleet::Servers table;
   auto cached = server("a", 5);
-  cached.from_cache = true, cached.heard = Time{1h};
+  cached.from_cache = true, cached.received_at = Time{1h};
   table.merge(cached);
   BOOST_TEST((table.digests(4) == fleet::Servers{}.digests(4)));  // others are not told of it
   auto heard = server("a", 5);
-  heard.heard = Time{1h} - 2s;                               // by another registry, before this one started
-  BOOST_TEST((table.merge(heard) == fleet::Merged::heard));  // proxies were told of it: it is as they know it
+  heard.received_at = Time{1h} - 2s;  // by another registry, before this one started
+  BOOST_TEST((table.merge(heard) ==
+              fleet::MergeResult::refreshed));  // proxies were told of it: it is as they know it
   BOOST_TEST(!table.find("a")->from_cache);
-  BOOST_TEST((table.find("a")->heard == Time{1h} - 2s));
-  BOOST_TEST((table.merge(cached) == fleet::Merged::nothing));
+  BOOST_TEST((table.find("a")->received_at == Time{1h} - 2s));
+  BOOST_TEST((table.merge(cached) == fleet::MergeResult::unchanged));
   BOOST_TEST((table.digests(4) != fleet::Servers{}.digests(4)));
 
   // Another address, phase or cold time than in the cache is told at once.
   const auto merged_with_cache = [&cached](fleet::Server next) {
     fleet::Servers with_cache;
     with_cache.merge(cached);
-    next.heard = Time{1h} + 1s;
+    next.received_at = Time{1h} + 1s;
     return with_cache.merge(next);
   };
   auto moved = server("a", 6);
   moved.address = "10.0.0.99:1";
-  BOOST_TEST((merged_with_cache(moved) == fleet::Merged::changed));
+  BOOST_TEST((merged_with_cache(moved) == fleet::MergeResult::changed));
   auto cold = server("a", 6);
   cold.cold_until = Time{2h};
-  BOOST_TEST((merged_with_cache(cold) == fleet::Merged::changed));
-  BOOST_TEST((merged_with_cache(server("a", 6, fleet::Phase::DRAINING)) == fleet::Merged::changed));
-  BOOST_TEST((merged_with_cache(server("a", 6)) == fleet::Merged::heard));
+  BOOST_TEST((merged_with_cache(cold) == fleet::MergeResult::changed));
+  BOOST_TEST((merged_with_cache(server("a", 6, fleet::Phase::DRAINING)) == fleet::MergeResult::changed));
+  BOOST_TEST((merged_with_cache(server("a", 6)) == fleet::MergeResult::refreshed));
 
   fleet::Servers newer;
   auto drains = server("a", 9, fleet::Phase::DRAINING);
@@ -302,24 +303,24 @@
   BOOST_TEST(
       table.expire(Time{1h} + 60s, Duration{}, 60s).empty());  // a registry that is alone calls nobody lost
   BOOST_TEST(table.expire(Time{1h} + 60s, 6s, 60s).size() == 1u);
-  BOOST_TEST((table.merge(server("a", 2)) == fleet::Merged::changed));
+  BOOST_TEST((table.merge(server("a", 2)) == fleet::MergeResult::changed));
   table.merge(server("a", 0, fleet::Phase::GONE));
-  BOOST_TEST((table.merge(server("a", 9)) == fleet::Merged::nothing));  // who has left stays gone
+  BOOST_TEST((table.merge(server("a", 9)) == fleet::MergeResult::unchanged));  // who has left stays gone
 }
 
 BOOST_AUTO_TEST_CASE(
     given_a_member_that_restarted_when_a_word_of_its_earlier_life_comes_late_then_it_is_passed_over) {
   fleet::Nodes nodes;
   fleet::Node n;
-  n.id = "p", n.life = 5, n.stamp = 1, n.heard = Time{1h};
+  n.id = "p", n.incarnation = 5, n.stamp = 1, n.received_at = Time{1h};
   nodes.merge(n);
   auto next = n;
-  next.life = 6;
-  BOOST_TEST((nodes.merge(next) == fleet::Merged::changed));
+  next.incarnation = 6;
+  BOOST_TEST((nodes.merge(next) == fleet::MergeResult::changed));
   n.stamp = 100;
-  BOOST_TEST((nodes.merge(n) == fleet::Merged::nothing));
+  BOOST_TEST((nodes.merge(n) == fleet::MergeResult::unchanged));
   BOOST_TEST(nodes.expire(Time{1h} + 10s, 2s).size() == 1u);
-  BOOST_TEST((nodes.merge(n) == fleet::Merged::nothing));
+  BOOST_TEST((nodes.merge(n) == fleet::MergeResult::unchanged));
   BOOST_TEST(nodes.all().empty());
 }
 
@@ -331,24 +332,24 @@
     fleet::Outgoing out;
     auto list = out.frame().initChanges().initEntries(static_cast<unsigned>(entries.size()));
     for (unsigned i = 0; i < list.size(); ++i) fleet::put(list[i], entries[i]);
-    return to.take(out.frame().asReader().getChanges());
+    return to.accept(out.frame().asReader().getChanges());
   };
   const fleet::Entry one{1, wire::Change::REPLACE, config_body(1, 0)},
       two{2, wire::Change::EVACUATE, zone_command("z", 1)},
       three{3, wire::Change::READMIT, zone_command("z", 2)};
-  BOOST_TEST((feed(source, {one, two}) == fleet::ChangeLog::News::taken));
-  BOOST_TEST((feed(follower, {two}) == fleet::ChangeLog::News::gap));
-  BOOST_TEST((feed(follower, {one, three}) == fleet::ChangeLog::News::gap));
+  BOOST_TEST((feed(source, {one, two}) == fleet::ChangeLog::Outcome::applied));
+  BOOST_TEST((feed(follower, {two}) == fleet::ChangeLog::Outcome::gap));
+  BOOST_TEST((feed(follower, {one, three}) == fleet::ChangeLog::Outcome::gap));
   BOOST_TEST(follower.position() == 1u);
-  BOOST_TEST((feed(follower, {one, two}) == fleet::ChangeLog::News::taken));
-  BOOST_TEST((feed(follower, {one, two}) == fleet::ChangeLog::News::none));
-  BOOST_TEST((feed(follower, {three}) == fleet::ChangeLog::News::taken));
+  BOOST_TEST((feed(follower, {one, two}) == fleet::ChangeLog::Outcome::applied));
+  BOOST_TEST((feed(follower, {one, two}) == fleet::ChangeLog::Outcome::unchanged));
+  BOOST_TEST((feed(follower, {three}) == fleet::ChangeLog::Outcome::applied));
   BOOST_TEST((follower.readmitted() == std::vector<std::string>{"z"}));
   fleet::ChangeLog fresh;
   auto snapshot = transfer::decode(transfer::encode(source.state())->bytes);
   BOOST_REQUIRE(snapshot.has_value());
-  BOOST_TEST((fresh.take(*snapshot) == fleet::ChangeLog::News::taken));
-  BOOST_TEST((fresh.take(*snapshot) == fleet::ChangeLog::News::none));
+  BOOST_TEST((fresh.accept(*snapshot) == fleet::ChangeLog::Outcome::applied));
+  BOOST_TEST((fresh.accept(*snapshot) == fleet::ChangeLog::Outcome::unchanged));
   BOOST_TEST(fresh.position() == 2u);
   BOOST_TEST(fresh.configuration()->version == 1u);
   BOOST_TEST(fresh.state().evacuated.size() == 1u);
--- a/tests/system/record_requests_test.cpp
+++ b/tests/system/record_requests_test.cpp
@@ -16,7 +16,7 @@
 
 fleet::Server server(const std::string& id, std::uint64_t calls, Phase phase = Phase::READY) {
   fleet::Server s;
-  s.id = id, s.address = "10.0.0.1:" + id.substr(2), s.calls = calls, s.phase = phase;
+  s.id = id, s.address = "10.0.0.1:" + id.substr(2), s.heartbeat_sequence = calls, s.phase = phase;
   return s;
 }
 
@@ -69,15 +69,15 @@
     for (const auto& s : servers) digests.toggle(s.id, s.address, s.phase);
     return digests.all();
   };
-  known.take(server("i-1", 5));
-  known.take(server("i-2", 1));
-  known.take(server("i-1", 4, Phase::DRAINING));  // older
+  known.update(server("i-1", 5));
+  known.update(server("i-2", 1));
+  known.update(server("i-1", 4, Phase::DRAINING));  // older
   BOOST_TEST((known.digests() == digests_of({server("i-1", 5), server("i-2", 1)})));
-  known.take(server("i-1", 6, Phase::DRAINING));
-  known.take(server("i-1", 7));
+  known.update(server("i-1", 6, Phase::DRAINING));
+  known.update(server("i-1", 7));
   BOOST_TEST((known.digests() == digests_of({server("i-1", 7, Phase::DRAINING), server("i-2", 1)})));
-  known.take(server("i-1", 7, Phase::GONE));
-  known.take(server("i-3", 7, Phase::GONE));
+  known.update(server("i-1", 7, Phase::GONE));
+  known.update(server("i-3", 7, Phase::GONE));
   BOOST_TEST((known.digests() == digests_of({server("i-2", 1)})));
   BOOST_TEST(known.size() == 1u);
 }
@@ -93,11 +93,11 @@
       const auto id = "i-" + std::to_string(i);
       first[id] = server(id, 1 + random() % 3);
       second[id] = first[id];
-      if (random() % 20 == 0) second[id] = server(id, first[id].calls + 1, Phase::DRAINING);
+      if (random() % 20 == 0) second[id] = server(id, first[id].heartbeat_sequence + 1, Phase::DRAINING);
       if (random() % 20 == 0) second.erase(id);
       if (random() % 20 == 0) first.erase(id);
     }
-    for (const auto& [id, s] : first) proxy.take(s);
+    for (const auto& [id, s] : first) proxy.update(s);
     RecordDigests of_second;
     for (const auto& [id, s] : second) of_second.toggle(id, s.address, s.phase);
     const auto before = proxy.digests();
@@ -105,7 +105,7 @@
     for (const auto& [id, s] : second) {
       const auto range = fleet::Servers::range_of(id, fleet::kRecordRanges);
       if (before[range] == of_second.all()[range]) continue;
-      proxy.take(s);
+      proxy.update(s);
       ++told;
     }
     RecordDigests expected;
--- a/tests/system/transfer_test.cpp
+++ b/tests/system/transfer_test.cpp
@@ -43,7 +43,7 @@
   fleet::Outgoing out;
   auto list = out.frame().initChanges().initEntries(1);
   fleet::put(list[0], Entry{log.position() + 1, change, text});
-  BOOST_REQUIRE((log.take(out.frame().asReader().getChanges()) == fleet::ChangeLog::News::taken));
+  BOOST_REQUIRE((log.accept(out.frame().asReader().getChanges()) == fleet::ChangeLog::Outcome::applied));
 }
 
 // One follower and some sources, each with a link of its own: a rate and a delay both ways, cut and joined.
@@ -77,7 +77,7 @@
     sources[i].linked = false;
     ++sources[i].link;
     sources[i].free_up = sources[i].free_down = now;
-    follower.on_lost(now, name(i));
+    follower.on_source_lost(now, name(i));
   }
   // A change that all sources learn, or those of a list.
   void change(wire::Change kind, const std::string& text) {
@@ -151,7 +151,7 @@
       if (sources[i].link != link) return;
       capnp::FlatArrayMessageReader reader(words->asPtr());
       const auto taken = follower.on_frame(now, name(i), reader.getRoot<wire::Frame>());
-      if (taken == fleet::ChangeLog::News::taken) ++news;
+      if (taken == fleet::ChangeLog::Outcome::applied) ++news;
     });
   }
   void send_up(const std::string& to, fleet::Outgoing& out) {
@@ -200,7 +200,7 @@
   auto decoded = transfer::decode(bytes_of_state(applied));
   BOOST_REQUIRE(decoded.has_value());
   fleet::ChangeLog from_snapshot;
-  BOOST_REQUIRE((from_snapshot.take(std::move(*decoded)) == fleet::ChangeLog::News::taken));
+  BOOST_REQUIRE((from_snapshot.accept(std::move(*decoded)) == fleet::ChangeLog::Outcome::applied));
   BOOST_TEST(bytes_of_state(applied) == bytes_of_state(from_snapshot));
   // Names out of order, numbers written in more than one way.
   const std::string patch =
@@ -395,7 +395,7 @@
   net.sources[0].log = core;
   net.sources[0].peer = {};
   BOOST_TEST(net.follower.changes().state().version() == 2u);
-  net.follower.on_core_behind(core.position());
+  net.follower.on_core_regressed(core.position());
   net.run(1s);
   BOOST_TEST(net.follower.changes().state().version() == 1u);
   BOOST_TEST(bytes_of_state(net.follower.changes()) == bytes_of_state(core));
@@ -530,7 +530,7 @@
   push(log, wire::Change::REPLACE, config_body(1, 0));
   const auto old = log.state();
   push(log, wire::Change::EVACUATE, "z1");
-  BOOST_TEST((log.take(old) == fleet::ChangeLog::News::none));
+  BOOST_TEST((log.accept(old) == fleet::ChangeLog::Outcome::unchanged));
   BOOST_TEST(log.position() == 2u);
 }
 
@@ -591,17 +591,17 @@
     BOOST_TEST(net.follower.changes().position() == 0u);  // its question was lost, or that for further parts
     const auto watched = [&](Duration time) {
       for (const Time until = net.now + time; net.now < until; net.run(500ms)) {
-        net.follower.on_core_at(net.now, 1);
-        net.follower.watch(net.now);
+        net.follower.on_core_position(net.now, 1);
+        net.follower.check_progress(net.now);
       }
     };
     net.sources[0].deaf = false;
     watched(1s);
     BOOST_TEST(net.follower.changes().position() == 0u);  // patience: a far source may be slow
-    BOOST_TEST(net.follower.behind_since(net.now).has_value());
+    BOOST_TEST(net.follower.lagging_since(net.now).has_value());
     watched(2s);
     BOOST_TEST(net.follower.changes().position() == 1u);
-    BOOST_TEST(!net.follower.behind_since(net.now).has_value());
+    BOOST_TEST(!net.follower.lagging_since(net.now).has_value());
     BOOST_TEST(net.notes.size() >= 3u);  // behind, asked anew, caught up
   }
 }
