--- a/src/system/fleet/change_log.cpp
+++ b/src/system/fleet/change_log.cpp
@@ -13,10 +13,10 @@
   readmitted_.clear();
 }
 
-void ChangeLog::reread() {
+void ChangeLog::parse_document() {
   if (state_.document.is_null()) return;
-  auto read = configuration::read(state_.document);
-  if (!failed(read)) configuration_ = std::move(value(read));
+  auto parsed = configuration::read(state_.document);
+  if (!failed(parsed)) configuration_ = std::move(value(parsed));
 }
 
 ChangeLog::Outcome ChangeLog::accept(configuration::State snapshot) {
@@ -27,7 +27,7 @@
   state_ = std::move(snapshot);
   digests_.note(state_.position, state_.log_digest);
   recent_.clear();
-  reread();
+  parse_document();
   return Outcome::applied;
 }
 
@@ -36,25 +36,26 @@
   readmitted_.clear();
   if (entries.size() > 0 && digests_.contradicts(entries[0].getPosition() - 1, batch.getDigestBefore()))
     return Outcome::diverged;
-  bool taken = false;
-  bool document = false;
+  bool any_applied = false;
+  bool document_changed = false;
   bool gap = false;
-  for (const auto r : entries) {
-    if (r.getPosition() <= state_.position) continue;
-    gap = r.getPosition() != state_.position + 1;
+  for (const auto reader : entries) {
+    if (reader.getPosition() <= state_.position) continue;
+    gap = reader.getPosition() != state_.position + 1;
     if (gap) break;
-    auto e = get(r);
+    auto entry = get(reader);
     const auto evacuated_before = state_.evacuated;
-    const bool effect = apply(state_, e);
-    document = document || (effect && (e.change == wire::Change::REPLACE || e.change == wire::Change::PATCH));
+    const bool effect = apply(state_, entry);
+    document_changed = document_changed || (effect && (entry.change == wire::Change::REPLACE ||
+                                                       entry.change == wire::Change::PATCH));
     std::ranges::set_difference(evacuated_before, state_.evacuated, std::back_inserter(readmitted_));
-    taken = true;
+    any_applied = true;
     digests_.note(state_.position, state_.log_digest);
-    recent_.push(e);
+    recent_.push(entry);
   }
-  if (document) reread();
+  if (document_changed) parse_document();
   if (gap) return Outcome::gap;
-  return taken ? Outcome::applied : Outcome::unchanged;
+  return any_applied ? Outcome::applied : Outcome::unchanged;
 }
 
 }  // namespace docklift::fleet
--- a/src/system/fleet/confirmation.cpp
+++ b/src/system/fleet/confirmation.cpp
@@ -4,24 +4,24 @@
 
 namespace docklift::fleet {
 namespace {
-constexpr std::size_t kMostPending = 16;   // answers that wait for the copy; the oldest are met first
-constexpr std::size_t kMostAsked = 64;     // questions whose answer may still come: some half a minute's
-constexpr std::size_t kMostRequests = 16;  // of one proxy; the newest are worth most
+constexpr std::size_t kMaxPending = 16;   // responses waiting for the copy; the oldest are reached first
+constexpr std::size_t kMaxAsked = 64;     // requests that may still be answered: about half a minute's
+constexpr std::size_t kMaxRequests = 16;  // of one proxy; the newest matter most
 }  // namespace
 
 void Confirmation::asked(Time sent, std::uint64_t own_position) {
-  if (asked_.size() == kMostAsked) asked_.pop_front();
+  if (asked_.size() == kMaxAsked) asked_.pop_front();
   asked_.push_back({sent, own_position});
 }
 
 bool Confirmation::answered(Time sent, std::uint64_t position, std::uint64_t own_position) {
-  const auto question = std::ranges::find(asked_, sent, &Pending::sent);
-  // Of a copy that was given up meanwhile nothing is left to be wrong.
-  if (question != asked_.end() && position < question->position && position < own_position) return false;
+  const auto request = std::ranges::find(asked_, sent, &Pending::sent);
+  // If the copy was dropped in the meantime, the core's position doesn't contradict it.
+  if (request != asked_.end() && position < request->position && position < own_position) return false;
   if (at_ && sent <= *at_) return true;
   if (position <= own_position) {
     at_ = sent;
-  } else if (pending_.size() < kMostPending) {
+  } else if (pending_.size() < kMaxPending) {
     pending_.push_back({sent, position});
   }
   return true;
@@ -36,7 +36,7 @@
 }
 
 void ConfirmRequests::received(Time now, std::uint64_t token) {
-  if (requests_.size() == kMostRequests) requests_.pop_front();
+  if (requests_.size() == kMaxRequests) requests_.pop_front();
   requests_.push_back({now, token});
 }
 
--- a/src/system/fleet/copy_lag.cpp
+++ b/src/system/fleet/copy_lag.cpp
@@ -4,19 +4,19 @@
 
 namespace docklift::fleet {
 namespace {
-constexpr std::size_t kMostMissing = 64;  // that are told apart; what is newer counts from the last of them
-// A core that is in reach tells its position each half second. What it doesn't tell any more is not known to be there:
-// the core may have lost it, or be out of reach.
-constexpr Duration kToldFor = std::chrono::seconds(3);
+constexpr std::size_t kMaxMissing = 64;  // positions tracked; newer ones count from the last of them
+// A reachable core reports its position every 500 ms. A position that it no longer reports is not known to
+// exist: the core may have lost it or be unreachable.
+constexpr Duration kReportValidity = std::chrono::seconds(3);
 }  // namespace
 
 void CopyLag::reported(Time now, std::uint64_t position, std::uint64_t own_position) {
   newest_ = std::max(newest_, position);
   for (auto& missing : missing_)
-    if (missing.position <= position) missing.last_told = now;
+    if (missing.position <= position) missing.last_reported = now;
   if (position <= own_position) return;
   if (!missing_.empty() && position <= missing_.back().position) return;
-  if (missing_.size() == kMostMissing) {
+  if (missing_.size() == kMaxMissing) {
     missing_.back().position = position;
   } else {
     missing_.push_back({position, now, now});
@@ -29,7 +29,7 @@
 
 std::optional<Time> CopyLag::lagging_since(Time now) const {
   for (const auto& missing : missing_)
-    if (now - missing.last_told <= kToldFor) return missing.first_told;
+    if (now - missing.last_reported <= kReportValidity) return missing.first_reported;
   return std::nullopt;
 }
 
--- a/src/system/fleet/copy_lag.hpp
+++ b/src/system/fleet/copy_lag.hpp
@@ -1,4 +1,4 @@
-// How long a copy of the configuration has stood behind what the core has told. Pure.
+// How long a copy of the configuration has lagged behind the position reported by the core. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,27 @@
 
 namespace docklift::fleet {
 
-// Positions are places in the log of changes.
+// Positions are indexes in the change log.
 class CopyLag {
  public:
-  // The core has told at `now` that it stands at `position`, while the copy stands at `own_position`.
+  // The core reported at `now` that it is at `position`, while the copy is at `own_position`.
   void reported(Time now, std::uint64_t position, std::uint64_t own_position);
-  // The copy has come to `own_position`.
+  // The copy has reached `own_position`.
   void advanced(std::uint64_t own_position);
 
-  // Since when the copy has lacked something that it has been told of, also lately; none: it is not known to lack
-  // anything.
+  // Since when the copy has lacked a position that the core still reports (recently enough); none if it is
+  // not known to lag.
   std::optional<Time> lagging_since(Time now) const;
-  // The newest position that was told.
+  // The newest position reported.
   std::uint64_t newest() const { return newest_; }
 
  private:
   struct Missing {
     std::uint64_t position = 0;
-    Time first_told{};
-    Time last_told{};  // of this position or a later one
+    Time first_reported{};
+    Time last_reported{};  // this position or a later one
   };
-  std::deque<Missing> missing_;  // by position; the first one is what the copy has lacked longest
+  std::deque<Missing> missing_;  // by position; the first has been missing longest
   std::uint64_t newest_ = 0;
 };
 
--- a/src/system/fleet/frames.hpp
+++ b/src/system/fleet/frames.hpp
@@ -1,4 +1,4 @@
-// Frames built from and read into the system's own values.
+// Conversion between wire frames and the system's own types.
 #pragma once
 
 #include <capnp/message.h>
@@ -12,7 +12,7 @@
 
 namespace docklift::fleet {
 
-// A message with a Frame as its root.
+// An outgoing message with a Frame as its root.
 class Outgoing {
  public:
   Outgoing() : frame_(message_.initRoot<wire::Frame>()) {}
@@ -24,7 +24,7 @@
   wire::Frame::Builder frame_;
 };
 
-// A member's first word on a link, and its renewals.
+// Fills a hello frame: the first frame on a link, and its renewals.
 void put_hello(Outgoing& out, const Node& self, Time now);
 
 inline capnp::Data::Reader data_of(std::string_view s) {
@@ -34,6 +34,7 @@
   return {reinterpret_cast<const char*>(d.begin()), d.size()};
 }
 
+// A change at its position in the change log.
 struct Entry {
   std::uint64_t position = 0;
   wire::Change change = wire::Change::NOTHING;
@@ -41,13 +42,13 @@
 };
 
 void put(wire::Snapshot::Builder to, const configuration::State& s);
-// Throws nlohmann::json::exception for a document that is none, kj::Exception for a history that is none.
+// Throws nlohmann::json::exception for an invalid document, kj::Exception for an invalid version history.
 configuration::State get(wire::Snapshot::Reader r);
 void put(wire::Entry::Builder to, const Entry& e);
 Entry get(wire::Entry::Reader r);
 configuration::ChangeKind kind_of(wire::Change c);
 wire::Change change_of(configuration::ChangeKind kind);
-// Applies an entry to a state whose position is just before it. False: it changed nothing that is in force.
+// Applies an entry to a state at the preceding position. Returns false if it had no effect on the state.
 bool apply(configuration::State& state, const Entry& e);
 
 }  // namespace docklift::fleet
--- a/src/system/fleet/members.cpp
+++ b/src/system/fleet/members.cpp
@@ -10,9 +10,9 @@
 
 MemberChange SentMembers::update(std::set<std::string> members) {
   MemberChange change;
-  std::ranges::set_difference(members, all_, std::back_inserter(change.joined));
-  std::ranges::set_difference(all_, members, std::back_inserter(change.left));
-  all_ = std::move(members);
+  std::ranges::set_difference(members, sent_, std::back_inserter(change.joined));
+  std::ranges::set_difference(sent_, members, std::back_inserter(change.left));
+  sent_ = std::move(members);
   return change;
 }
 
@@ -20,9 +20,10 @@
   auto& view = views_[source];
   const auto before = std::exchange(view, std::move(members));
   bool changed = false;
-  for (const auto& member : view) changed |= add(member);  // first: who stays is at no time missing
+  // Adding before removing keeps members of both lists present throughout.
+  for (const auto& member : view) changed |= add(member);
   for (const auto& member : before) changed |= remove(member);
-  const auto lost = std::exchange(lost_, {});
+  const auto lost = std::exchange(disconnected_, {});
   if (!lost.empty() && lost != source) changed |= forget(lost);
   return changed;
 }
@@ -40,7 +41,7 @@
 
 bool MemberViews::forget(const std::string& source) {
   if (views_.size() < 2) {
-    if (views_.contains(source)) lost_ = source;
+    if (views_.contains(source)) disconnected_ = source;
     return false;
   }
   const auto view = views_.extract(source);
@@ -52,17 +53,17 @@
 
 std::vector<std::string> MemberViews::all() const {
   std::vector<std::string> members;
-  members.reserve(views_with_.size());
-  for (const auto& [member, views] : views_with_) members.push_back(member);
+  members.reserve(view_counts_.size());
+  for (const auto& [member, views] : view_counts_) members.push_back(member);
   return members;
 }
 
-bool MemberViews::add(const std::string& member) { return ++views_with_[member] == 1; }
+bool MemberViews::add(const std::string& member) { return ++view_counts_[member] == 1; }
 
 bool MemberViews::remove(const std::string& member) {
-  const auto views = views_with_.find(member);
+  const auto views = view_counts_.find(member);
   if (--views->second > 0) return false;
-  views_with_.erase(views);
+  view_counts_.erase(views);
   return true;
 }
 
--- a/src/system/fleet/members.hpp
+++ b/src/system/fleet/members.hpp
@@ -1,5 +1,5 @@
-// The fleet's members by name, told as a whole once and as changes from then on: with hundreds of members a whole list to
-// each of them at each change would fill their links. Pure.
+// The fleet's member names, sent as a full list once and as changes afterwards: with hundreds of members, a
+// full list to each of them on each change would saturate their links. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,29 +10,30 @@
 
 namespace docklift::fleet {
 
+// Members added to and removed from a list.
 struct MemberChange {
   std::vector<std::string> joined, left;
   bool empty() const { return joined.empty() && left.empty(); }
 };
 
-// The sender's side: the members as they were told last.
+// Sending side: the members as last sent.
 class SentMembers {
  public:
-  // What has changed since the last call.
+  // Returns the changes since the last call.
   MemberChange update(std::set<std::string> members);
-  const std::set<std::string>& all() const { return all_; }
+  const std::set<std::string>& all() const { return sent_; }
 
  private:
-  std::set<std::string> all_;
+  std::set<std::string> sent_;
 };
 
-// The receiver's side: who is a member for any of the sources that are followed. A source that is lost is forgotten,
-// but for the last one: what it told is better than nothing.
+// Receiving side: the union of the member lists of all connected sources. The list of a disconnected source
+// is dropped, except that of the last source: a stale list is better than none.
 class MemberViews {
  public:
-  // Each returns whether all() has changed.
+  // Each call returns whether all() has changed.
   bool replace(const std::string& source, std::set<std::string> members);
-  bool change(const std::string& source, const MemberChange& change);  // passed over before a whole list
+  bool change(const std::string& source, const MemberChange& change);  // ignored before a full list
   bool forget(const std::string& source);
   std::vector<std::string> all() const;  // sorted
 
@@ -40,12 +41,12 @@
   bool add(const std::string& member);
   bool remove(const std::string& member);
   std::map<std::string, std::set<std::string>> views_;  // by source
-  std::map<std::string, std::size_t> views_with_;       // by member
-  std::string lost_;                                    // the last source, lost and still held; empty: none
+  std::map<std::string, std::size_t> view_counts_;      // number of lists with the member
+  std::string disconnected_;  // the last source, disconnected, its list still in use; empty: none
 };
 
-// Names in an order of the member's own (rendezvous hashing): members that take the first few spread evenly, and one name
-// more or less moves few of them.
+// Orders names for one member by rendezvous hashing: members that pick their first few names are spread
+// evenly, and adding or removing a name moves few of them.
 std::vector<std::string> rendezvous_order(const std::string& member, std::vector<std::string> names);
 
 }  // namespace docklift::fleet
--- a/src/system/fleet/recent_changes.hpp
+++ b/src/system/fleet/recent_changes.hpp
@@ -1,5 +1,5 @@
-// The last changes of a log, kept for who follows it a little behind. Bounded in number and in bytes; who is
-// behind further needs a snapshot. Pure.
+// The most recent changes of a log, kept for followers that lag slightly. Bounded in number and in bytes;
+// followers that lag further need a snapshot. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 struct RecentChangesLimits {
   std::size_t changes = 1024;
-  std::size_t bytes = 4u << 20;            // of all changes that are kept
-  std::size_t largest_change = 64u << 10;  // a larger one is not kept: a snapshot carries it, in parts
+  std::size_t bytes = 4u << 20;            // of all changes kept
+  std::size_t largest_change = 64u << 10;  // a larger change is not kept: it is sent in a snapshot, in parts
 };
 
-// `Change` has `position_of(change)` and `bytes_of(change)`, found by its namespace.
+// `position_of(change)` and `bytes_of(change)` are found by argument-dependent lookup.
 template <class Change>
 class RecentChanges {
  public:
   explicit RecentChanges(RecentChangesLimits limits = {}) : limits_(limits) {}
 
-  // The change at the place after the last one that was pushed.
+  // Adds the change at the position after the last one pushed.
   void push(const Change& change) {
     if (bytes_of(change) > limits_.largest_change) return clear();
     changes_.push_back(change);
@@ -33,17 +33,18 @@
     bytes_ = 0;
   }
 
-  // Whether all changes after a place, up to the last one pushed, are here; false if there are none.
-  bool covers(std::uint64_t place) const {
-    return !changes_.empty() && position_of(changes_.front()) <= place + 1 &&
-           place < position_of(changes_.back());
+  // Whether all changes after `position`, up to the last one pushed, are kept; false if there are none.
+  bool covers(std::uint64_t position) const {
+    return !changes_.empty() && position_of(changes_.front()) <= position + 1 &&
+           position < position_of(changes_.back());
   }
-  // The changes after a place, as many as have `batch_bytes` together, one at least; empty unless it covers it.
-  std::vector<Change> after(std::uint64_t place, std::size_t batch_bytes) const {
-    if (!covers(place)) return {};
+  // The changes after `position`, up to `batch_bytes` in total but at least one; empty unless
+  // covers(position).
+  std::vector<Change> after(std::uint64_t position, std::size_t batch_bytes) const {
+    if (!covers(position)) return {};
     std::vector<Change> batch;
     std::size_t bytes = 0;
-    const auto skipped = static_cast<std::ptrdiff_t>(place + 1 - position_of(changes_.front()));
+    const auto skipped = static_cast<std::ptrdiff_t>(position + 1 - position_of(changes_.front()));
     for (auto change = std::next(changes_.begin(), skipped); change != changes_.end(); ++change) {
       bytes += bytes_of(*change);
       if (!batch.empty() && bytes > batch_bytes) break;
--- a/src/system/fleet/record_requests.cpp
+++ b/src/system/fleet/record_requests.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr Duration kLateAnswer = 600ms;  // 0.1 MB over a link of 2 Mbit/s, and two regions' way
+constexpr Duration kAnswerTimeout = 600ms;  // 0.1 MB over a 2 Mbit/s link, plus an inter-region round trip
 constexpr std::uint64_t kAddressSeed = 7;
 
 }  // namespace
@@ -18,21 +18,21 @@
   digests_[Servers::range_of(id, kRecordRanges)] ^= mix(record);
 }
 
-void KnownRecords::update(const Server& told) {
-  const auto found = records_.find(told.id);
+void KnownRecords::update(const Server& received) {
+  const auto found = records_.find(received.id);
   if (found != records_.end()) {
     const auto& known = found->second;
-    if (told.heartbeat_sequence < known.heartbeat_sequence) return;
-    digests_.toggle(told.id, known.address, known.phase);
+    if (received.heartbeat_sequence < known.heartbeat_sequence) return;
+    digests_.toggle(received.id, known.address, known.phase);
   }
-  if (told.phase == Phase::GONE) {
+  if (received.phase == Phase::GONE) {
     if (found != records_.end()) records_.erase(found);
     return;
   }
-  const bool drained = found != records_.end() && found->second.phase == Phase::DRAINING;
-  const auto phase = drained ? Phase::DRAINING : told.phase;  // a drain is not taken back
-  records_[told.id] = {told.address, phase, told.heartbeat_sequence};
-  digests_.toggle(told.id, told.address, phase);
+  const bool was_draining = found != records_.end() && found->second.phase == Phase::DRAINING;
+  const auto phase = was_draining ? Phase::DRAINING : received.phase;  // a drain is never reverted
+  records_[received.id] = {received.address, phase, received.heartbeat_sequence};
+  digests_.toggle(received.id, received.address, phase);
 }
 
 RecordRequests::Registries RecordRequests::linked(Time now, const std::string& registry) {
@@ -56,8 +56,8 @@
 }
 
 RecordRequests::Registries RecordRequests::tick(Time now) {
-  const bool late = !asked_.empty() && now - asked_at_ >= kLateAnswer;
-  return !complete_ && late ? ask_next(now) : Registries{};
+  const bool timed_out = !asked_.empty() && now - asked_at_ >= kAnswerTimeout;
+  return !complete_ && timed_out ? ask_next(now) : Registries{};
 }
 
 RecordRequests::Registries RecordRequests::ask_next(Time now) {
--- a/src/system/fleet/record_requests.hpp
+++ b/src/system/fleet/record_requests.hpp
@@ -1,6 +1,6 @@
-// Whom a proxy asks for the records of servers, and what it tells of those that it knows: of the registries that it is
-// linked to one tells all records, each other one what differs from them. A list that each of them told would fill an
-// edge link when hundreds of proxies start. Pure.
+// Requests of a proxy for server records: of the registries that it is connected to, one sends all records,
+// each other one only those that differ from the records the proxy has. A full list from each of them would
+// saturate an edge link when hundreds of proxies start. Performs no I/O.
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -15,14 +15,14 @@
 
 namespace docklift::fleet {
 
-inline constexpr std::size_t kRecordRanges = 64;  // of servers' ids
+inline constexpr std::size_t kRecordRanges = 64;  // hash ranges of server ids
 
-// One digest for each range of ids, over the servers that are not gone: equal where the records are the same in what
-// proxies go by.
+// One digest for each range of ids, over the servers that are not gone. Digests are equal if the records
+// agree in the fields that proxies use.
 class RecordDigests {
  public:
   RecordDigests() : digests_(kRecordRanges) {}
-  // Adds a record, or takes out one that was added.
+  // Adds a record, or removes one that was added.
   void toggle(const std::string& id, const std::string& address, Phase phase);
   const std::vector<std::uint64_t>& all() const { return digests_; }
 
@@ -30,10 +30,10 @@
   std::vector<std::uint64_t> digests_;
 };
 
-// The records as they were told last.
+// The server records as last received.
 class KnownRecords {
  public:
-  void update(const Server& told);  // an older record is passed over
+  void update(const Server& received);  // ignores an older record
   const std::vector<std::uint64_t>& digests() const { return digests_.all(); }
   std::size_t size() const { return records_.size(); }
 
@@ -43,12 +43,13 @@
     Phase phase = Phase::READY;
     std::uint64_t heartbeat_sequence = 0;
   };
-  tsl::robin_map<std::string, Record> records_;  // by id, without those that are gone
+  tsl::robin_map<std::string, Record> records_;  // by id, without servers that are gone
   RecordDigests digests_;
 };
 
-// Each call returns the registries to ask now. Until one has answered, one is asked at a time, and another one where it
-// is lost or late; then all that are linked are told what is known and asked for the rest.
+// Selects the registries to ask; each call returns those to ask now. Until the first answer, one registry is
+// asked at a time, and the next if it disconnects or times out; then all connected ones are sent the digests
+// of the known records and asked for the rest.
 class RecordRequests {
  public:
   using Registries = std::vector<std::string>;
@@ -56,14 +57,14 @@
   Registries lost(Time now, const std::string& registry);
   Registries answered(const std::string& registry);
   Registries tick(Time now);
-  // All records of one registry have come.
+  // All records of one registry have been received.
   bool complete() const { return complete_; }
 
  private:
   Registries ask_next(Time now);
   bool complete_ = false;
-  std::set<std::string> waiting_;  // linked, and not asked yet
-  std::string asked_;              // whose answer is awaited; empty: nobody's
+  std::set<std::string> waiting_;  // connected, not asked yet
+  std::string asked_;              // the registry whose answer is pending; empty: none
   Time asked_at_{};
 };
 
--- a/src/system/fleet/records.cpp
+++ b/src/system/fleet/records.cpp
@@ -7,13 +7,15 @@
 namespace docklift::fleet {
 namespace {
 
-constexpr Duration kColdSlop = std::chrono::milliseconds(250);  // told remainders differ by delays alone
+// Remaining times of one record differ by network delays alone.
+constexpr Duration kColdTolerance = std::chrono::milliseconds(250);
 
 bool cold_differs(const Server& a, const Server& b, Time now) {
   const bool a_is_cold = a.cold_until > now;
   const bool b_is_cold = b.cold_until > now;
   if (a_is_cold != b_is_cold) return true;
-  return a_is_cold && std::max(a.cold_until, b.cold_until) - std::min(a.cold_until, b.cold_until) > kColdSlop;
+  return a_is_cold &&
+         std::max(a.cold_until, b.cold_until) - std::min(a.cold_until, b.cold_until) > kColdTolerance;
 }
 
 }  // namespace
@@ -23,9 +25,9 @@
   if (fresh) return MergeResult::changed;
   auto& known = it->second;
   if (known.phase == Phase::GONE || s.from_cache) return MergeResult::unchanged;
-  const bool as_new = s.heartbeat_sequence > known.heartbeat_sequence ||
-                      (s.heartbeat_sequence == known.heartbeat_sequence && s.phase >= known.phase);
-  const bool confirms_cache = known.from_cache && s.phase != Phase::GONE && as_new;
+  const bool at_least_as_new = s.heartbeat_sequence > known.heartbeat_sequence ||
+                               (s.heartbeat_sequence == known.heartbeat_sequence && s.phase >= known.phase);
+  const bool confirms_cache = known.from_cache && s.phase != Phase::GONE && at_least_as_new;
   if (!confirms_cache && s.phase != Phase::GONE &&
       (s.heartbeat_sequence < known.heartbeat_sequence ||
        (s.heartbeat_sequence == known.heartbeat_sequence && s.phase <= known.phase))) {
@@ -35,7 +37,7 @@
   }
   const bool changed = known.phase != s.phase || known.address != s.address || known.service != s.service ||
                        known.cap != s.cap || cold_differs(known, s, s.received_at);
-  if (s.phase == Phase::GONE) {  // a leave tells the id alone
+  if (s.phase == Phase::GONE) {  // a leave carries only the id
     known.phase = Phase::GONE, known.received_at = s.received_at,
     known.heartbeat_sequence = std::max(known.heartbeat_sequence, s.heartbeat_sequence);
     known.from_cache = false;
@@ -50,34 +52,34 @@
   return it == all_.end() ? nullptr : &it->second;
 }
 
-std::vector<Server> Servers::expire(Time now, Duration silence, Duration kept) {
-  std::vector<Server> lost;
+std::vector<Server> Servers::expire(Time now, Duration timeout, Duration retention) {
+  std::vector<Server> expired;
   for (auto it = all_.begin(); it != all_.end();) {
     auto& s = it->second;
     if (s.phase == Phase::GONE) {
-      it = now - s.received_at > kept ? all_.erase(it) : std::next(it);
+      it = now - s.received_at > retention ? all_.erase(it) : std::next(it);
       continue;
     }
-    if (silence > Duration{} && now - s.received_at > silence) {
-      lost.push_back(s);
-      it = all_.erase(it);  // not a tombstone: it comes back with its next beat
+    if (timeout > Duration{} && now - s.received_at > timeout) {
+      expired.push_back(s);
+      it = all_.erase(it);  // no tombstone: the server returns with its next heartbeat
       continue;
     }
     ++it;
   }
-  return lost;
+  return expired;
 }
 
 std::size_t Servers::range_of(const std::string& id, std::size_t ranges) { return hash_of(id) % ranges; }
 
 std::vector<std::uint64_t> Servers::digests(std::size_t ranges) const {
-  std::vector<std::uint64_t> out(ranges);
+  std::vector<std::uint64_t> result(ranges);
   for (const auto& [id, s] : all_) {
     if (s.from_cache) continue;
-    out[range_of(id, ranges)] ^= mix(hash_of(id) ^ hash_of(s.address, 7) ^
-                                     static_cast<std::uint64_t>(s.phase));
+    result[range_of(id, ranges)] ^= mix(hash_of(id) ^ hash_of(s.address, 7) ^
+                                        static_cast<std::uint64_t>(s.phase));
   }
-  return out;
+  return result;
 }
 
 MergeResult Nodes::merge(const Node& n) {
@@ -96,18 +98,18 @@
 }
 
 std::vector<Node> Nodes::expire(Time now, Duration lease) {
-  std::vector<Node> out;
+  std::vector<Node> result;
   for (auto it = all_.begin(); it != all_.end();) {
     if (now - it->second.received_at <= lease) {
       ++it;
       continue;
     }
     ended_[it->first] = it->second.incarnation;
-    out.push_back(it->second);
+    result.push_back(it->second);
     it = all_.erase(it);
   }
   if (ended_.size() > 4096) ended_.clear();
-  return out;
+  return result;
 }
 
 void put(wire::Server::Builder to, const Server& s, Time now) {
--- a/src/system/fleet/records.hpp
+++ b/src/system/fleet/records.hpp
@@ -1,5 +1,5 @@
-// Which servers and members there are: records that any registry may write and that merge the same way in any
-// order. Pure.
+// Records of servers and fleet members. Any registry may write them; merging gives the same result in any
+// order. Performs no I/O.
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -18,15 +18,17 @@
 using wire::Phase;
 using wire::Role;
 
+// An instance of a service, as it last reported itself.
 struct Server {
   std::string id, service, address, zone;
   std::uint32_t cap = 1;
   Phase phase = Phase::READY;
   std::uint64_t heartbeat_sequence = 0;
   Time received_at{}, cold_until{};
-  bool from_cache = false;  // known from an earlier life of this registry; nothing was heard in this one
+  bool from_cache = false;  // read from the registry's cache on disk; not received since the registry started
 };
 
+// A fleet member: a proxy, registry or store.
 struct Node {
   std::string id, zone, address;
   std::uint64_t incarnation = 0, stamp = 0, term = 0;
@@ -35,20 +37,22 @@
   Time received_at{};
 };
 
-// What a merge has changed: nothing; only that it was heard again; or what others must know at once.
+// Effect of a merge: none; only a newer receive time; or a change that must be sent to others at once.
 enum class MergeResult { unchanged, refreshed, changed };
 
+// The known servers, including tombstones of those that left.
 class Servers {
  public:
-  // The record with the higher `calls` holds, of equal ones the later phase; a server that is gone never
-  // comes back under its id. A record from the cache yields to any that is as new.
+  // The record with the higher heartbeat sequence wins, of equal ones that with the later phase; a server
+  // that is gone never returns under its id. A cached record is replaced by any that is at least as new.
   MergeResult merge(const Server& s);
   const Server* find(const std::string& id) const;
-  // Forgets servers that were gone for `kept`, and calls gone those not heard of for `silence` (0: none);
-  // these are returned.
-  std::vector<Server> expire(Time now, Duration silence, Duration kept);
+  // Drops tombstones older than `retention`, and removes and returns the servers without a heartbeat for
+  // `timeout` (0: none).
+  std::vector<Server> expire(Time now, Duration timeout, Duration retention);
   const std::map<std::string, Server>& all() const { return all_; }
-  // Digests over `ranges` ranges of ids, without those from the cache, of id, calls' phase and address; equal where the records are.
+  // Digests of id, phase and address for each of `ranges` ranges of ids, without cached records; equal if the
+  // records are.
   std::vector<std::uint64_t> digests(std::size_t ranges) const;
   static std::size_t range_of(const std::string& id, std::size_t ranges);
 
@@ -56,17 +60,18 @@
   std::map<std::string, Server> all_;
 };
 
+// The live fleet members.
 class Nodes {
  public:
   MergeResult merge(const Node& n);
-  // Members that have not renewed for `lease` are dropped; these are returned.
+  // Drops and returns the members that have not renewed for `lease`.
   std::vector<Node> expire(Time now, Duration lease);
   const std::map<std::string, Node>& all() const { return all_; }
 
  private:
   std::map<std::string, Node> all_;
-  std::map<std::string, std::uint64_t>
-      ended_;  // the last life of who was dropped, to tell a late word from a new one
+  // The last incarnation of dropped members, to tell a late renewal from a new process.
+  std::map<std::string, std::uint64_t> ended_;
 };
 
 void put(wire::Server::Builder to, const Server& s, Time now);
