--- a/src/system/transfer/change_feed.hpp
+++ b/src/system/transfer/change_feed.hpp
@@ -1,5 +1,5 @@
-// What a follower of the log of changes is to be sent next: a batch of entries, or the first part of a
-// snapshot. The follower asks for all that comes after. Pure; the same at stores and registries.
+// Selects what to send next to a follower of the change log: a batch of entries, or the first part of a
+// snapshot. The follower requests everything after that. Used by stores and registries. Performs no I/O.
 #pragma once
 
 #include "system/fleet/frames.hpp"
@@ -7,21 +7,25 @@
 
 namespace docklift::transfer {
 
-inline constexpr std::size_t kBatchBytes = 64u << 10;  // of entries in one frame; one entry may be larger
+inline constexpr std::size_t kBatchBytes = 64u << 10;  // of entries per frame; a single entry may be larger
 
+// Feeds the followers of one source; the caller keeps a Follower for each.
 class ChangeFeed {
  public:
+  // Send state of one follower.
   struct Follower {
-    bool follows = false;
-    bool asks = false;           // the next word is the follower's: it has been sent a part of what it lacks
-    std::uint64_t position = 0;  // up to which it has been sent everything
+    bool following = false;
+    bool awaiting_request = false;  // a part of what it lacks was sent; the rest is sent on its request
+    std::uint64_t position = 0;     // everything up to this was sent
   };
 
   void on_follow(Follower& follower, std::uint64_t position) const;
-  // Fills a frame with what the follower is to have now. False: nothing.
+  // Fills a frame with what to send to the follower now. Returns false if there is nothing to send.
   bool next(Time now, Follower& follower, const fleet::ChangeSource& source, fleet::Outgoing& out);
-  // The first part of a snapshot for who holds less than can be sent as entries.
-  void offer(Time now, std::uint64_t place, const fleet::ChangeSource& source, fleet::Outgoing& out);
+  // Fills a frame with the first part of a snapshot, for a peer at `position` that lags too far behind for
+  // entries.
+  void offer(Time now, std::uint64_t position, const fleet::ChangeSource& source, fleet::Outgoing& out);
+  // Fills a frame with the requested part of a snapshot.
   void answer(Time now, wire::SnapshotPartRequest::Reader request, const fleet::ChangeSource& source,
               fleet::Outgoing& out);
   void expire(Time now) { snapshots_.expire(now); }
--- a/src/system/transfer/change_follower.hpp
+++ b/src/system/transfer/change_follower.hpp
@@ -1,6 +1,7 @@
-// A follower of the log of changes with links to one or more sources: takes batches and snapshots, asks for
-// what is missing, and goes on at another source where a link ends. Until a snapshot is whole, what was held
-// before stays in force. The same at registries and proxies. Pure: frames go in and out by calls.
+// A follower of the change log, connected to one or more sources: applies batches and snapshots, requests
+// what is missing, and continues from another source when a connection ends. The previous state stays in
+// force until a snapshot is complete. Used by registries and proxies. Performs no I/O: frames are passed in
+// and out by calls.
 #pragma once
 
 #include <functional>
@@ -13,30 +14,33 @@
 
 namespace docklift::transfer {
 
+// Keeps a ChangeLog up to date from its sources and detects when it stops making progress.
 class ChangeFollower {
  public:
   using Outcome = fleet::ChangeLog::Outcome;
   using Send = std::function<void(const std::string& source, fleet::Outgoing& out)>;
-  using Note = std::function<void(const std::string& note)>;  // for the log
+  using Log = std::function<void(const std::string& message)>;  // receives log messages
 
-  ChangeFollower(Send send, Note note) : send_(std::move(send)), note_(std::move(note)) {}
+  ChangeFollower(Send send, Log log) : send_(std::move(send)), log_(std::move(log)) {}
 
   void on_linked(const std::string& source);
   void on_source_lost(Time now, const std::string& source);
-  // A frame of changes or of a snapshot; other frames are passed over. `taken`: changes() has moved.
+  // Handles a frame with changes or a part of a snapshot and ignores other frames. `applied`: changes() has
+  // advanced.
   Outcome on_frame(Time now, const std::string& source, wire::Frame::Reader frame);
-  // The source has told of changes that have not come from it.
+  // The source reported a newer position than it has sent changes for.
   void on_newer_position(const std::string& source);
 
-  // The core has told that it stands at `position`, before what is here: this copy is given up for the core's.
+  // The core reported that it is at `position`, before this copy's: drops the copy and fetches the core's
+  // state.
   void on_core_regressed(std::uint64_t position);
 
-  // A majority has told that the core stands at `position`.
+  // A majority reported that the core is at `position`.
   void on_core_position(Time now, std::uint64_t position);
-  // To be called about each half second: a copy that stays behind what the core has told is noted, and where nothing
-  // comes any more all sources are asked anew.
+  // To be called about every 500 ms. Logs a copy that keeps lagging behind the core's reported position, and
+  // asks all sources again if nothing arrives any more.
   void check_progress(Time now);
-  // Since when the copy has been known to lack something; none: it is not known to.
+  // Since when the copy has been known to lag; none if it is not known to.
   std::optional<Time> lagging_since(Time now) const { return lag_.lagging_since(now); }
 
   const fleet::ChangeLog& changes() const { return changes_; }
@@ -44,26 +48,27 @@
  private:
   Outcome on_batch(const std::string& source, wire::ChangeBatch::Reader batch);
   Outcome on_part(Time now, const std::string& source, wire::SnapshotPart::Reader frame);
-  Outcome on_other_history(const std::string& source);
-  void give_up(const std::string& why);
-  void carry_out(const SnapshotReceiver::Step& step);
-  void note_lag(Time now, Time since);
-  void ask_anew(Time now);
-  std::string waits_for() const;
+  Outcome on_diverged(const std::string& source);
+  void discard_copy(const std::string& reason);
+  void execute(const SnapshotReceiver::Step& step);
+  void log_lag(Time now, Time since);
+  void restart_fetch(Time now);
+  std::string describe_wait() const;
   void follow(const std::string& source);
   void follow_all();
-  bool catching_up() const { return (receiver_.fetching() && !receiver_.paused()) || !pulled_.empty(); }
+  bool catching_up() const { return (receiver_.fetching() && !receiver_.paused()) || !pull_source_.empty(); }
 
   Send send_;
-  Note note_;
+  Log log_;
   fleet::ChangeLog changes_;
   SnapshotReceiver receiver_;
-  std::set<std::string> sources_;  // that are linked
+  std::set<std::string> sources_;  // connected
   fleet::CopyLag lag_;
-  bool lag_noted_ = false;
-  std::uint64_t seen_position_ = 0, seen_bytes_ = 0;  // at the last watch, of the copy and of a snapshot
+  bool lag_logged_ = false;
+  // At the last check_progress(): the copy's position, and the bytes received of a snapshot.
+  std::uint64_t last_position_ = 0, last_received_ = 0;
   Time progress_at_{};
-  std::string pulled_;  // the source that was asked for more batches; empty: none
+  std::string pull_source_;  // the source asked for more batches; empty: none
 };
 
 }  // namespace docklift::transfer
--- a/src/system/transfer/snapshot.cpp
+++ b/src/system/transfer/snapshot.cpp
@@ -12,7 +12,7 @@
 namespace docklift::transfer {
 namespace {
 
-constexpr std::uint64_t kMostWords = kMostSnapshotBytes / sizeof(capnp::word);
+constexpr std::uint64_t kMaxWords = kMaxSnapshotBytes / sizeof(capnp::word);
 
 void put(wire::SnapshotId::Builder to, const SnapshotId& id) {
   to.setPosition(id.position);
@@ -44,12 +44,12 @@
 
 std::optional<configuration::State> decode(std::string_view bytes) {
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return std::nullopt;
-  std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));  // aligned, as bytes need not be
+  std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));  // copied, as `bytes` may be unaligned
   std::memcpy(words.data(), bytes.data(), bytes.size());
   const kj::ArrayPtr<const capnp::word> segment(words.data(), words.size());
   try {
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = kMostWords;
+    options.traversalLimitInWords = kMaxWords;
     capnp::SegmentArrayMessageReader reader(kj::arrayPtr(&segment, 1), options);
     return fleet::get(reader.getRoot<wire::Snapshot>());
   } catch (const kj::Exception&) {
--- a/src/system/transfer/snapshot.hpp
+++ b/src/system/transfer/snapshot.hpp
@@ -1,5 +1,5 @@
-// Snapshots as bytes: one encoding of a state, equal on every node that holds the same position, and what is
-// said to carry it in parts. Pure.
+// Encoding of snapshots: the same bytes on every node at the same position, and the messages that carry them
+// in parts. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,39 +13,44 @@
 
 namespace docklift::transfer {
 
-inline constexpr std::size_t kPartBytes = 32u << 10;          // 0.13 s at 2 Mbit/s
-inline constexpr std::size_t kMostPartBytes = 64u << 10;      // that a sender serves at once
-inline constexpr std::size_t kMostSnapshotBytes = 96u << 20;  // a larger one is refused
+inline constexpr std::size_t kPartBytes = 32u << 10;         // 0.13 s at 2 Mbit/s
+inline constexpr std::size_t kMaxPartBytes = 64u << 10;      // upper bound of a part that is served
+inline constexpr std::size_t kMaxSnapshotBytes = 96u << 20;  // larger ones are rejected
 
-// XXH3, 128 bits. Against mistakes and mixed versions, not against forgery: links are inside the fleet.
+// XXH3, 128 bits. Detects faults and mixed versions, not forgery: links are internal to the fleet.
 struct Digest {
   std::uint64_t low = 0, high = 0;
   bool operator==(const Digest&) const = default;
 };
 Digest digest_of(std::string_view bytes);
 
+// Identifies a snapshot by its position and content.
 struct SnapshotId {
-  std::uint64_t position = 0;  // of the last change in it
+  std::uint64_t position = 0;  // of the last change included
   Digest digest;
   bool operator==(const SnapshotId&) const = default;
 };
 
+// An encoded state.
 struct Snapshot {
   SnapshotId id;
   std::string bytes;
 };
 
-// Canonical: equal states give equal bytes. JSON objects are dumped in the order of their names, lists of the
-// state are sorted or in the order of the log, and Cap'n Proto's canonical form has one layout.
+// Canonical: equal states give equal bytes. JSON objects are written with sorted keys, the lists of a state
+// are sorted or in log order, and Cap'n Proto's canonical form has a single layout.
 std::shared_ptr<const Snapshot> encode(const configuration::State& state);
-std::optional<configuration::State> decode(std::string_view bytes);  // none: not a state
+std::optional<configuration::State> decode(std::string_view bytes);  // none: not a valid state
 
+// A chunk of an encoded snapshot.
 struct Part {
   SnapshotId id;
   std::uint64_t total = 0, offset = 0;
-  std::string_view bytes;  // owned by who built or received the frame
-  bool replaces = false;   // the answer to a request for a snapshot that the sender does not hold
+  std::string_view bytes;  // owned by the builder or receiver of the frame
+  bool replaces = false;   // the requested snapshot is not held by the sender; this is another one
 };
+
+// A request for a chunk of a snapshot.
 struct PartRequest {
   SnapshotId id;
   std::uint64_t offset = 0;
--- a/src/system/transfer/snapshot_receiver.cpp
+++ b/src/system/transfer/snapshot_receiver.cpp
@@ -6,44 +6,44 @@
 namespace {
 
 bool well_formed(const Part& part) {
-  if (part.total == 0 || part.total > kMostSnapshotBytes || part.bytes.empty()) return false;
+  if (part.total == 0 || part.total > kMaxSnapshotBytes || part.bytes.empty()) return false;
   return part.offset <= part.total && part.bytes.size() <= part.total - part.offset;
 }
 
-std::string named(const SnapshotId& id) { return "the snapshot of change " + std::to_string(id.position); }
+std::string describe(const SnapshotId& id) { return "the snapshot of change " + std::to_string(id.position); }
 
 }  // namespace
 
 SnapshotReceiver::Step SnapshotReceiver::on_part(Time now, const std::string& source, const Part& part,
-                                                 std::uint64_t least) {
+                                                 std::uint64_t min_position) {
   Step step;
   if (!well_formed(part)) return step;
-  if (part.id.position < least) {
-    // The source has nothing of use in place of what it was asked for.
+  if (part.id.position < min_position) {
+    // The source has no useful snapshot in place of the requested one.
     if (part.replaces && fetching_from(source)) return on_source_lost(now, source);
     return step;
   }
   if (part.offset == 0) offers_[source] = part.id;
-  if (!active_) {
-    if (part.offset == 0) begin(now, source, part, step);
+  if (!fetching_) {
+    if (part.offset == 0) start(now, source, part, step);
     return step;
   }
   if (part.id == id_) {
     if (source_.empty()) resume_at(source);
     if (part.offset == bytes_.size()) append(now, part, step);
-    if (active_) request_more(now, step);
+    if (fetching_) request_more(now, step);
     return step;
   }
-  if (source_.empty() && part.offset == 0) {  // it may still keep the one that is fetched
+  if (source_.empty() && part.offset == 0) {  // the source may still hold the one being fetched
     resume_at(source);
     request_more(now, step);
   } else if (part.replaces && source == source_) {
-    const auto other = std::ranges::find_if(
+    const auto alternative = std::ranges::find_if(
         offers_, [&](const auto& offer) { return offer.first != source && offer.second == id_; });
-    if (other == offers_.end()) {
-      begin(now, source, part, step);
+    if (alternative == offers_.end()) {
+      start(now, source, part, step);
     } else {
-      resume_at(other->first);
+      resume_at(alternative->first);
       request_more(now, step);
     }
   }
@@ -62,21 +62,22 @@
 }
 
 void SnapshotReceiver::on_position(std::uint64_t position) {
-  if (active_ && id_.position <= position) reset();
+  if (fetching_ && id_.position <= position) reset();
 }
 
-void SnapshotReceiver::begin(Time now, const std::string& source, const Part& part, Step& step) {
+void SnapshotReceiver::start(Time now, const std::string& source, const Part& part, Step& step) {
   bytes_.clear();
-  active_ = true;
+  fetching_ = true;
   id_ = part.id;
   total_ = part.total;
   parts_ = 0;
-  began_ = now;
+  started_at_ = now;
   resume_at(source);
   if (part.bytes.size() < part.total)
-    step.notes.push_back("fetches " + named(id_) + ", " + std::to_string(total_) + " bytes, from " + source);
+    step.log_messages.push_back("fetches " + describe(id_) + ", " + std::to_string(total_) + " bytes, from " +
+                                source);
   append(now, part, step);
-  if (active_) request_more(now, step);
+  if (fetching_) request_more(now, step);
 }
 
 void SnapshotReceiver::resume_at(const std::string& source) {
@@ -89,29 +90,30 @@
 void SnapshotReceiver::append(Time now, const Part& part, Step& step) {
   bytes_.append(part.bytes);
   ++parts_;
-  measure(now);
+  adjust_window(now);
   requested_ = std::max<std::uint64_t>(requested_, bytes_.size());
   if (bytes_.size() == total_) finish(now, step);
 }
 
-void SnapshotReceiver::measure(Time now) {
+void SnapshotReceiver::adjust_window(Time now) {
   if (requested_at_.empty()) return;
-  const auto took = now - requested_at_.front();
+  const auto elapsed = now - requested_at_.front();
   requested_at_.pop_front();
-  if (took <= limits_.quick) window_ = std::min(window_ + 1, limits_.most_window);
-  if (took > limits_.slow) window_ = std::max<std::size_t>(window_ - 1, 1);
+  if (elapsed <= limits_.quick) window_ = std::min(window_ + 1, limits_.max_window);
+  if (elapsed > limits_.slow) window_ = std::max<std::size_t>(window_ - 1, 1);
 }
 
 void SnapshotReceiver::finish(Time now, Step& step) {
-  const bool fits = digest_of(bytes_) == id_.digest;
-  if (fits) step.whole = decode(bytes_);
-  step.failed = !step.whole || step.whole->position != id_.position;
+  const bool matches = digest_of(bytes_) == id_.digest;
+  if (matches) step.completed = decode(bytes_);
+  step.failed = !step.completed || step.completed->position != id_.position;
   if (step.failed) {
-    step.whole.reset();
-    step.notes.push_back(named(id_) + " from " + source_ + " does not fit its digest: dropped");
+    step.completed.reset();
+    step.log_messages.push_back(describe(id_) + " from " + source_ + " does not fit its digest: dropped");
   } else if (parts_ > 1) {
-    step.notes.push_back(named(id_) + " is whole: " + std::to_string(total_) + " bytes in " +
-                         std::to_string(parts_) + " parts, " + std::to_string(millis(now - began_)) + " ms");
+    step.log_messages.push_back(describe(id_) + " is whole: " + std::to_string(total_) + " bytes in " +
+                                std::to_string(parts_) + " parts, " +
+                                std::to_string(millis(now - started_at_)) + " ms");
   }
   reset();
 }
@@ -126,7 +128,7 @@
 }
 
 void SnapshotReceiver::reset() {
-  active_ = false;
+  fetching_ = false;
   source_.clear();
   std::string().swap(bytes_);
   requested_at_.clear();
--- a/src/system/transfer/snapshot_sender.cpp
+++ b/src/system/transfer/snapshot_sender.cpp
@@ -9,55 +9,57 @@
   part.id = snapshot.id;
   part.total = snapshot.bytes.size();
   part.offset = offset;
-  part.bytes = std::string_view(snapshot.bytes).substr(offset, std::min(length, kMostPartBytes));
+  part.bytes = std::string_view(snapshot.bytes).substr(offset, std::min(length, kMaxPartBytes));
   return part;
 }
 
-SnapshotSender::Kept* SnapshotSender::find(const SnapshotId& id) {
-  const auto found = std::ranges::find_if(kept_, [&](const Kept& kept) { return kept.snapshot->id == id; });
-  return found == kept_.end() ? nullptr : &*found;
+SnapshotSender::Cached* SnapshotSender::find(const SnapshotId& id) {
+  const auto found = std::ranges::find_if(cached_,
+                                          [&](const Cached& cached) { return cached.snapshot->id == id; });
+  return found == cached_.end() ? nullptr : &*found;
 }
 
-// The newest one from which a follower gets on by entries.
-SnapshotSender::Kept* SnapshotSender::usable(const fleet::ChangeSource& source, std::uint64_t place) {
-  for (auto kept = kept_.rbegin(); kept != kept_.rend(); ++kept) {
-    const auto position = kept->position();
-    const bool leads_on = position == source.state().position || source.covers(position);
-    if (position > place && leads_on) return &*kept;
+// The newest cached snapshot after which a follower can continue with entries.
+SnapshotSender::Cached* SnapshotSender::usable(const fleet::ChangeSource& source, std::uint64_t position) {
+  for (auto cached = cached_.rbegin(); cached != cached_.rend(); ++cached) {
+    const auto snapshot_position = cached->position();
+    const bool can_continue = snapshot_position == source.state().position ||
+                              source.covers(snapshot_position);
+    if (snapshot_position > position && can_continue) return &*cached;
   }
   return nullptr;
 }
 
-bool SnapshotSender::in_service(Time now, const Kept& kept) const {
-  return now - kept.used <= limits_.idle && now - kept.since <= limits_.longest;
+bool SnapshotSender::in_use(Time now, const Cached& cached) const {
+  return now - cached.last_used <= limits_.idle && now - cached.encoded_at <= limits_.max_age;
 }
 
-// The older of two stays while it is fetched, so that a quick succession of changes can't keep receivers from
-// ever having a whole one; the newer of them makes room.
-SnapshotSender::Kept& SnapshotSender::encoded(Time now, const configuration::State& state) {
-  const auto same = std::ranges::find(kept_, state.position, &Kept::position);
-  if (same != kept_.end()) return *same;
-  if (kept_.size() == kMostKept)
-    kept_.erase(in_service(now, kept_.front()) ? kept_.end() - 1 : kept_.begin());
-  return kept_.emplace_back(encode(state), now, now);
+// While the older of two snapshots is being fetched, the newer one is replaced instead: a quick succession of
+// changes must not keep receivers from ever completing a fetch.
+SnapshotSender::Cached& SnapshotSender::encoded(Time now, const configuration::State& state) {
+  const auto same = std::ranges::find(cached_, state.position, &Cached::position);
+  if (same != cached_.end()) return *same;
+  if (cached_.size() == kMaxCached)
+    cached_.erase(in_use(now, cached_.front()) ? cached_.end() - 1 : cached_.begin());
+  return cached_.emplace_back(encode(state), now, now);
 }
 
-Part SnapshotSender::offer(Time now, const fleet::ChangeSource& source, std::uint64_t place) {
-  auto* kept = usable(source, place);
-  if (!kept) kept = &encoded(now, source.state());
-  kept->used = now;
-  return part_of(*kept->snapshot, 0, kPartBytes);
+Part SnapshotSender::offer(Time now, const fleet::ChangeSource& source, std::uint64_t position) {
+  auto* cached = usable(source, position);
+  if (!cached) cached = &encoded(now, source.state());
+  cached->last_used = now;
+  return part_of(*cached->snapshot, 0, kPartBytes);
 }
 
 Part SnapshotSender::answer(Time now, const PartRequest& request, const fleet::ChangeSource& source) {
-  auto* kept = find(request.id);
-  if (!kept && request.id.position == source.state().position) {
-    auto& present = encoded(now, source.state());
-    if (present.snapshot->id == request.id) kept = &present;
+  auto* cached = find(request.id);
+  if (!cached && request.id.position == source.state().position) {
+    auto& current = encoded(now, source.state());
+    if (current.snapshot->id == request.id) cached = &current;
   }
-  if (kept && request.offset < kept->snapshot->bytes.size()) {
-    kept->used = now;
-    return part_of(*kept->snapshot, request.offset, request.length);
+  if (cached && request.offset < cached->snapshot->bytes.size()) {
+    cached->last_used = now;
+    return part_of(*cached->snapshot, request.offset, request.length);
   }
   auto part = offer(now, source, request.id.position);
   part.replaces = true;
@@ -65,7 +67,7 @@
 }
 
 void SnapshotSender::expire(Time now) {
-  std::erase_if(kept_, [&](const Kept& kept) { return now - kept.used > limits_.idle; });
+  std::erase_if(cached_, [&](const Cached& cached) { return now - cached.last_used > limits_.idle; });
 }
 
 }  // namespace docklift::transfer
--- a/tests/system/record_requests_test.cpp
+++ b/tests/system/record_requests_test.cpp
@@ -1,4 +1,4 @@
-// Whom a proxy asks for the records of servers, and what of them differs.
+// Selection of the registries that a proxy asks for server records, and digests of the records that differ.
 #include "system/fleet/record_requests.hpp"
 
 #include <boost/test/unit_test.hpp>
@@ -14,9 +14,9 @@
 using fleet::RecordRequests;
 using Names = RecordRequests::Registries;
 
-fleet::Server server(const std::string& id, std::uint64_t calls, Phase phase = Phase::READY) {
+fleet::Server server(const std::string& id, std::uint64_t sequence, Phase phase = Phase::READY) {
   fleet::Server s;
-  s.id = id, s.address = "10.0.0.1:" + id.substr(2), s.heartbeat_sequence = calls, s.phase = phase;
+  s.id = id, s.address = "10.0.0.1:" + id.substr(2), s.heartbeat_sequence = sequence, s.phase = phase;
   return s;
 }
 
@@ -25,7 +25,7 @@
 BOOST_AUTO_TEST_SUITE(record_requests)
 
 BOOST_AUTO_TEST_CASE(
-    given_three_registries_when_the_first_has_told_all_then_the_others_are_asked_for_the_rest) {
+    given_three_registries_when_the_first_has_sent_all_then_the_others_are_asked_for_the_rest) {
   RecordRequests requests;
   const Time now = Time{} + 10s;
   BOOST_TEST(equal(requests.linked(now, "r1"), {"r1"}));
@@ -37,7 +37,7 @@
   BOOST_TEST(requests.complete());
   BOOST_TEST(requests.answered("r2").empty());
   BOOST_TEST(requests.tick(now + 5s).empty());
-  BOOST_TEST(equal(requests.linked(now + 6s, "r1"), {"r1"}));  // once more after its link was lost
+  BOOST_TEST(equal(requests.linked(now + 6s, "r1"), {"r1"}));  // again after its link was lost
 }
 
 BOOST_AUTO_TEST_CASE(given_a_registry_that_is_late_or_lost_when_another_is_linked_then_that_one_is_asked) {
@@ -48,7 +48,7 @@
   BOOST_TEST(equal(requests.lost(now + 800ms, "r2"), {"r3"}));
   BOOST_TEST(requests.lost(now + 900ms, "r3").empty());
   BOOST_TEST(equal(requests.linked(now + 1s, "r2"), {"r2"}));
-  BOOST_TEST(requests.answered("r1").empty());  // the late one, all the same
+  BOOST_TEST(requests.answered("r1").empty());  // the late answer counts as well
   BOOST_TEST(requests.complete());
 }
 
@@ -62,7 +62,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(
-    given_records_that_are_older_drained_or_gone_when_they_come_then_digests_follow_the_newest) {
+    given_records_that_are_older_draining_or_gone_when_they_arrive_then_digests_follow_the_newest) {
   KnownRecords known;
   const auto digests_of = [](const std::vector<fleet::Server>& servers) {
     RecordDigests digests;
@@ -82,8 +82,8 @@
   BOOST_TEST(known.size() == 1u);
 }
 
-// Two registries that know different records: after one exchange with each a proxy knows what either does.
-BOOST_AUTO_TEST_CASE(given_registries_that_differ_when_ranges_that_differ_are_told_then_nothing_is_missing) {
+// Two registries with different records: after one exchange with each, a proxy has the records of both.
+BOOST_AUTO_TEST_CASE(given_registries_that_differ_when_ranges_that_differ_are_sent_then_nothing_is_missing) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     KnownRecords proxy;
@@ -101,19 +101,19 @@
     RecordDigests of_second;
     for (const auto& [id, s] : second) of_second.toggle(id, s.address, s.phase);
     const auto before = proxy.digests();
-    std::size_t told = 0;
+    std::size_t received = 0;
     for (const auto& [id, s] : second) {
       const auto range = fleet::Servers::range_of(id, fleet::kRecordRanges);
       if (before[range] == of_second.all()[range]) continue;
       proxy.update(s);
-      ++told;
+      ++received;
     }
     RecordDigests expected;
     auto both = first;
     for (const auto& [id, s] : second) both[id] = s;
     for (const auto& [id, s] : both) expected.toggle(id, s.address, s.phase);
     BOOST_TEST((proxy.digests() == expected.all()), "seed " << seed);
-    BOOST_TEST(told < second.size());
+    BOOST_TEST(received < second.size());
   }
 }
 
--- a/tests/system/transfer_test.cpp
+++ b/tests/system/transfer_test.cpp
@@ -1,4 +1,5 @@
-// Snapshots and catch-up: followers and sources over paced links in virtual time. Nothing here sleeps.
+// Snapshot transfer and catch-up: followers and sources over rate-limited links in virtual time. Nothing here
+// sleeps.
 #include <capnp/serialize.h>
 
 #include <boost/test/unit_test.hpp>
@@ -25,7 +26,7 @@
 using transfer::SnapshotReceiver;
 using transfer::SnapshotSender;
 
-// A configuration of so many routes, each of some 1,000 bytes where `wide`.
+// A configuration with `routes` routes, each of about 1,000 bytes if `wide`.
 std::string many_routes(std::uint64_t version, std::uint64_t parent, std::size_t routes, bool wide = false) {
   const std::string padding(wide ? 860 : 1, 'p');
   auto body = nlohmann::json::parse(config_body(version, parent));
@@ -46,7 +47,8 @@
   BOOST_REQUIRE((log.accept(out.frame().asReader().getChanges()) == fleet::ChangeLog::Outcome::applied));
 }
 
-// One follower and some sources, each with a link of its own: a rate and a delay both ways, cut and joined.
+// One follower and several sources, each with its own link, with a rate and a delay in both directions, that
+// can be cut and restored.
 class Net {
  public:
   struct Source {
@@ -54,11 +56,11 @@
     ChangeFeed feed;
     ChangeFeed::Follower peer;
     bool linked = false;
-    bool deaf = false;       // what is said to it is lost
-    std::uint64_t link = 0;  // rises with each cut: what was under way is lost
-    Time free_up{}, free_down{};
+    bool drops_requests = false;  // frames sent to it are lost
+    std::uint64_t link = 0;       // increases with each cut: frames in flight are lost
+    Time up_free_at{}, down_free_at{};
     std::uint64_t bytes_down = 0, frames_up = 0;
-    Duration longest_queue{};  // that a frame stood behind others on the way down
+    Duration longest_queue{};  // longest wait of a frame behind others on the way down
   };
 
   explicit Net(std::size_t count, double bits_per_s = 1e9, Duration delay = 1ms)
@@ -76,10 +78,10 @@
     if (!sources[i].linked) return;
     sources[i].linked = false;
     ++sources[i].link;
-    sources[i].free_up = sources[i].free_down = now;
+    sources[i].up_free_at = sources[i].down_free_at = now;
     follower.on_source_lost(now, name(i));
   }
-  // A change that all sources learn, or those of a list.
+  // Adds a change at all sources.
   void change(wire::Change kind, const std::string& text) {
     for (std::size_t i = 0; i < sources.size(); ++i) change_at(i, kind, text);
   }
@@ -118,10 +120,10 @@
 
   std::vector<Source> sources;
   Time now{1h};
-  std::vector<std::string> notes;
-  std::size_t news = 0;
+  std::vector<std::string> log_messages;
+  std::size_t updates = 0;
   ChangeFollower follower{[this](const std::string& to, fleet::Outgoing& out) { send_up(to, out); },
-                          [this](const std::string& note) { notes.push_back(note); }};
+                          [this](const std::string& message) { log_messages.push_back(message); }};
 
  private:
   struct Event {
@@ -130,28 +132,28 @@
     std::function<void()> what;
     bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
-  using Words = std::shared_ptr<kj::Array<capnp::word>>;
-  static Words words_of(fleet::Outgoing& out) {
+  using SerializedFrame = std::shared_ptr<kj::Array<capnp::word>>;
+  static SerializedFrame serialize(fleet::Outgoing& out) {
     return std::make_shared<kj::Array<capnp::word>>(capnp::messageToFlatArray(out.message()));
   }
   Duration time_for(std::size_t bytes) const {
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(static_cast<double>(bytes) * 8 / bits_per_s_));
   }
-  void later(Time at, std::function<void()> what) { events_.push({at, ++order_, std::move(what)}); }
+  void schedule(Time at, std::function<void()> what) { events_.push({at, ++order_, std::move(what)}); }
 
   void send_down(std::size_t i, const std::shared_ptr<fleet::Outgoing>& out) {
     auto& s = sources[i];
-    const auto words = words_of(*out);
-    const auto bytes = words->asBytes().size();
-    s.longest_queue = std::max(s.longest_queue, s.free_down > now ? s.free_down - now : Duration{});
-    s.free_down = std::max(s.free_down, now) + time_for(bytes);
+    const auto frame_words = serialize(*out);
+    const auto bytes = frame_words->asBytes().size();
+    s.longest_queue = std::max(s.longest_queue, s.down_free_at > now ? s.down_free_at - now : Duration{});
+    s.down_free_at = std::max(s.down_free_at, now) + time_for(bytes);
     s.bytes_down += bytes;
-    later(s.free_down + delay_, [this, i, words, link = s.link] {
+    schedule(s.down_free_at + delay_, [this, i, frame_words, link = s.link] {
       if (sources[i].link != link) return;
-      capnp::FlatArrayMessageReader reader(words->asPtr());
+      capnp::FlatArrayMessageReader reader(frame_words->asPtr());
       const auto taken = follower.on_frame(now, name(i), reader.getRoot<wire::Frame>());
-      if (taken == fleet::ChangeLog::Outcome::applied) ++news;
+      if (taken == fleet::ChangeLog::Outcome::applied) ++updates;
     });
   }
   void send_up(const std::string& to, fleet::Outgoing& out) {
@@ -160,16 +162,16 @@
   }
   void send_up(std::size_t i, fleet::Outgoing& out) {
     auto& s = sources[i];
-    const auto words = words_of(out);
+    const auto frame_words = serialize(out);
     ++s.frames_up;
-    s.free_up = std::max(s.free_up, now) + time_for(words->asBytes().size());
-    later(s.free_up + delay_, [this, i, words, link = s.link] {
-      if (sources[i].link != link || sources[i].deaf) return;
-      capnp::FlatArrayMessageReader reader(words->asPtr());
-      on_word(i, reader.getRoot<wire::Frame>());
+    s.up_free_at = std::max(s.up_free_at, now) + time_for(frame_words->asBytes().size());
+    schedule(s.up_free_at + delay_, [this, i, frame_words, link = s.link] {
+      if (sources[i].link != link || sources[i].drops_requests) return;
+      capnp::FlatArrayMessageReader reader(frame_words->asPtr());
+      on_request(i, reader.getRoot<wire::Frame>());
     });
   }
-  void on_word(std::size_t i, wire::Frame::Reader frame) {
+  void on_request(std::size_t i, wire::Frame::Reader frame) {
     auto& s = sources[i];
     if (frame.isFollow()) {
       s.feed.on_follow(s.peer, frame.getFollow());
@@ -192,7 +194,7 @@
 
 // ---- the encoding
 
-BOOST_AUTO_TEST_CASE(given_one_position_reached_on_two_ways_when_it_is_encoded_then_the_bytes_are_equal) {
+BOOST_AUTO_TEST_CASE(given_one_position_reached_in_two_ways_when_it_is_encoded_then_the_bytes_are_equal) {
   fleet::ChangeLog applied;
   push(applied, wire::Change::REPLACE, many_routes(3, 0, 20));
   push(applied, wire::Change::EVACUATE, "z2");
@@ -202,7 +204,7 @@
   fleet::ChangeLog from_snapshot;
   BOOST_REQUIRE((from_snapshot.accept(std::move(*decoded)) == fleet::ChangeLog::Outcome::applied));
   BOOST_TEST(bytes_of_state(applied) == bytes_of_state(from_snapshot));
-  // Names out of order, numbers written in more than one way.
+  // Unsorted names, and numbers in several notations.
   const std::string patch =
       R"({"parent":"00000003","gen":"00000009","upsert":{"accts":[{"per_s":1e1,"name":"t0","burst":2.50,)"
       R"("apikeys":["b","a"]}],"limits":{"idle_ms":-0,"hdr_ms":3000.0}}})";
@@ -213,7 +215,7 @@
   BOOST_TEST((transfer::encode(applied.state())->id == transfer::encode(from_snapshot.state())->id));
 }
 
-// ---- joining
+// ---- initial transfer
 
 BOOST_AUTO_TEST_CASE(given_a_small_configuration_when_a_follower_joins_then_it_has_it_after_one_round_trip) {
   Net net(1, 1e9, 10ms);
@@ -222,11 +224,10 @@
   net.link(0);
   BOOST_TEST(net.run_until([&] { return net.caught_up(); }));
   BOOST_TEST(millis(net.now - begin) == 20u);
-  BOOST_TEST(net.notes.empty());
+  BOOST_TEST(net.log_messages.empty());
 }
 
-BOOST_AUTO_TEST_CASE(
-    given_a_follower_that_is_a_little_behind_when_it_links_then_it_is_sent_entries_in_batches) {
+BOOST_AUTO_TEST_CASE(given_a_slightly_lagging_follower_when_it_connects_then_it_is_sent_entries_in_batches) {
   Net net(1);
   net.change(wire::Change::REPLACE, many_routes(3, 0, 3000));
   net.link(0);
@@ -235,16 +236,16 @@
   for (int i = 0; i < 300; ++i)
     net.change(wire::Change::EVACUATE, std::string(1000, 'z') + std::to_string(i));
   const auto before = net.sources[0].bytes_down;
-  net.news = 0;
+  net.updates = 0;
   net.link(0);
   BOOST_REQUIRE(net.run_until([&] { return net.caught_up(); }));
-  BOOST_TEST(net.news >= 300 * 1000 / transfer::kBatchBytes);  // batches of entries, no snapshot
+  BOOST_TEST(net.updates >= 300 * 1000 / transfer::kBatchBytes);  // batches of entries, no snapshot
   BOOST_TEST(net.sources[0].bytes_down - before < 400'000u);
   BOOST_TEST(bytes_of_state(net.follower.changes()) == bytes_of_state(net.sources[0].log));
 }
 
 BOOST_AUTO_TEST_CASE(
-    given_a_follower_when_more_changes_come_than_are_kept_or_a_large_one_then_it_has_a_snapshot) {
+    given_a_follower_when_more_changes_arrive_than_are_kept_or_a_large_one_then_it_is_sent_a_snapshot) {
   fleet::RecentChanges<Entry> kept({4, 1000, 400});
   for (std::uint64_t i = 1; i <= 6; ++i) kept.push({i, wire::Change::EVACUATE, "z"});
   BOOST_TEST(!kept.covers(1));
@@ -255,9 +256,9 @@
   kept.push({7, wire::Change::EVACUATE, std::string(300, 'z')});
   kept.push({8, wire::Change::EVACUATE, std::string(300, 'z')});
   kept.push({9, wire::Change::EVACUATE, std::string(300, 'z')});
-  BOOST_TEST(!kept.covers(5));  // 1,000 bytes hold no more
+  BOOST_TEST(!kept.covers(5));  // limited by the 1,000 bytes
   kept.push({10, wire::Change::EVACUATE, std::string(500, 'z')});
-  BOOST_TEST(!kept.covers(9));  // larger than one that is kept
+  BOOST_TEST(!kept.covers(9));  // larger than the largest change that is kept
 
   Net net(1);
   net.change(wire::Change::REPLACE, config_body(3, 0));
@@ -267,17 +268,18 @@
   net.change(wire::Change::EVACUATE, "z1");
   BOOST_REQUIRE(net.run_until([&] { return net.caught_up(); }));
   BOOST_TEST(net.follower.changes().configuration()->routes.size() == 2000u);
-  BOOST_TEST(net.notes.size() == 2u);  // begins, is whole
+  BOOST_TEST(net.log_messages.size() == 2u);  // started, complete
 }
 
-BOOST_AUTO_TEST_CASE(given_a_slow_path_when_a_member_5_mb_behind_catches_up_then_other_frames_pass_between) {
+BOOST_AUTO_TEST_CASE(
+    given_a_slow_path_when_a_follower_5_mb_behind_catches_up_then_other_frames_are_not_delayed) {
   constexpr double kSlow = 2e6;
   Net net(1, kSlow, 5ms);
   net.change(wire::Change::REPLACE, many_routes(3, 0, 5100, true));
   const auto size = bytes_of_state(net.sources[0].log).size();
   const auto begin = net.now;
   net.link(0);
-  for (int i = 0; i < 300; ++i) {  // and goes on changing meanwhile
+  for (int i = 0; i < 300; ++i) {  // changes continue meanwhile
     net.run(50ms);
     net.change(i % 2 == 0 ? wire::Change::EVACUATE : wire::Change::READMIT, "z1");
   }
@@ -288,7 +290,7 @@
                                                   << " s, floor " << floor << " s, longest queue "
                                                   << millis(net.sources[0].longest_queue) << " ms, frames up "
                                                   << net.sources[0].frames_up);
-  for (const auto& note : net.notes) BOOST_TEST_MESSAGE(note);
+  for (const auto& message : net.log_messages) BOOST_TEST_MESSAGE(message);
   BOOST_TEST(size > 5'000'000u);
   BOOST_TEST(took < 1.05 * floor);
   BOOST_TEST(millis(net.sources[0].longest_queue) < 600u);
@@ -296,7 +298,8 @@
   BOOST_TEST(bytes_of_state(net.follower.changes()) == bytes_of_state(net.sources[0].log));
 }
 
-BOOST_AUTO_TEST_CASE(given_a_far_and_wide_path_when_a_snapshot_is_fetched_then_more_parts_are_under_way) {
+BOOST_AUTO_TEST_CASE(
+    given_a_path_of_high_latency_and_bandwidth_when_a_snapshot_is_fetched_then_more_parts_are_in_flight) {
   Net net(1, 1e9, 55ms);
   net.change(wire::Change::REPLACE, many_routes(3, 0, 5100, true));
   const auto begin = net.now;
@@ -306,9 +309,9 @@
   BOOST_TEST(seconds(net.now - begin) < 2.0);
 }
 
-// ---- cuts
+// ---- disconnections
 
-BOOST_AUTO_TEST_CASE(given_a_fetch_when_its_link_ends_then_it_goes_on_where_it_was) {
+BOOST_AUTO_TEST_CASE(given_a_fetch_when_its_link_is_cut_then_it_resumes_where_it_stopped) {
   for (const bool other : {false, true}) {
     Net net(2, 2e6, 5ms);
     net.change(wire::Change::REPLACE, many_routes(3, 0, 2000, true));
@@ -328,7 +331,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(
-    given_an_older_configuration_when_a_newer_one_is_fetched_then_it_stays_until_that_is_whole) {
+    given_an_older_configuration_when_a_newer_one_is_fetched_then_it_stays_until_that_is_complete) {
   Net net(1, 2e6, 5ms);
   net.change(wire::Change::REPLACE, config_body(3, 0));
   net.link(0);
@@ -343,25 +346,27 @@
   BOOST_TEST(net.follower.changes().configuration()->version == 4u);
 }
 
-BOOST_AUTO_TEST_CASE(given_large_changes_in_quick_succession_when_followers_fetch_then_each_gets_whole_ones) {
+BOOST_AUTO_TEST_CASE(
+    given_large_changes_in_quick_succession_when_a_follower_fetches_then_it_completes_snapshots) {
   Net net(1, 2e6, 5ms);
   std::uint64_t version = 1;
   net.change(wire::Change::REPLACE, many_routes(version, 0, 500, true));
   net.link(0);
-  for (int i = 0; i < 60; ++i) {  // one takes 2 s, a change comes each 0.5 s
+  for (int i = 0; i < 60; ++i) {  // a fetch takes 2 s, a change arrives every 0.5 s
     net.run(500ms);
     net.change(wire::Change::REPLACE, many_routes(version + 1, version, 500, true));
     ++version;
   }
-  BOOST_TEST(net.news >= 8u);
+  BOOST_TEST(net.updates >= 8u);
   BOOST_REQUIRE(net.run_until([&] { return net.caught_up(); }));
   BOOST_TEST(net.follower.changes().configuration()->version == version);
 }
 
-// ---- the sender and the receiver by themselves
+// ---- diverged logs, and the sender and the receiver in isolation
 
-// The core has lost changes that a follower has, and decided their places anew.
-BOOST_AUTO_TEST_CASE(given_a_follower_of_another_history_when_the_core_goes_on_then_it_takes_the_cores) {
+// The core has lost changes that a follower has, and committed others at their positions.
+BOOST_AUTO_TEST_CASE(
+    given_a_follower_of_a_diverged_log_when_the_core_commits_changes_then_it_adopts_the_cores_log) {
   Net net(2);
   net.link(0);
   net.change_at(0, wire::Change::REPLACE, config_body(1, 0));
@@ -373,16 +378,16 @@
   net.change_at(1, wire::Change::REPLACE, config_body(3, 1, "anew"));
   net.link(1);
   net.run(1s);
-  BOOST_TEST(net.follower.changes().state().version() == 2u);  // no place beyond its own yet
+  BOOST_TEST(net.follower.changes().state().version() == 2u);  // no position beyond its own yet
   net.change_at(1, wire::Change::EVACUATE, zone_command("z", 2));
   net.run(1s);
   BOOST_TEST(net.follower.changes().state().version() == 3u);
   BOOST_TEST(bytes_of_state(net.follower.changes()) == bytes_of_state(net.sources[1].log));
-  BOOST_REQUIRE(net.notes.size() >= 1);
-  BOOST_TEST(net.notes.front().find("holds other changes") != std::string::npos);
+  BOOST_REQUIRE(net.log_messages.size() >= 1);
+  BOOST_TEST(net.log_messages.front().find("holds other changes") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(given_a_follower_ahead_of_the_core_when_it_is_told_so_then_it_takes_the_cores_state) {
+BOOST_AUTO_TEST_CASE(given_a_follower_ahead_of_the_core_when_it_is_notified_then_it_adopts_the_cores_state) {
   Net net(1);
   net.change_at(0, wire::Change::REPLACE, config_body(1, 0));
   fleet::ChangeLog ahead;
@@ -399,11 +404,11 @@
   net.run(1s);
   BOOST_TEST(net.follower.changes().state().version() == 1u);
   BOOST_TEST(bytes_of_state(net.follower.changes()) == bytes_of_state(core));
-  BOOST_REQUIRE(!net.notes.empty());
-  BOOST_TEST(net.notes.front().find("stands at change 1, before the 2 here") != std::string::npos);
+  BOOST_REQUIRE(!net.log_messages.empty());
+  BOOST_TEST(net.log_messages.front().find("stands at change 1, before the 2 here") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(given_a_sender_when_the_state_moves_on_then_it_keeps_two_snapshots_and_drops_idle_ones) {
+BOOST_AUTO_TEST_CASE(given_a_sender_when_the_state_advances_then_it_keeps_two_snapshots_and_drops_idle_ones) {
   SnapshotSender sender;
   fleet::ChangeLog log;
   Time now{1h};
@@ -414,12 +419,12 @@
     now += 1s;
     push(log, wire::Change::REPLACE, many_routes(version, version - 1, 2000));
     later.push_back(sender.offer(now, log, log.position() - 1).id);
-    BOOST_TEST(!sender.answer(now, {first, kPartBytes}, log).replaces);  // goes on being served
-    BOOST_TEST(sender.kept() == 2u);
+    BOOST_TEST(!sender.answer(now, {first, kPartBytes}, log).replaces);  // still served
+    BOOST_TEST(sender.size() == 2u);
   }
   BOOST_TEST(sender.answer(now, {later[1], kPartBytes}, log).replaces);
   BOOST_TEST(!sender.answer(now, {later[3], kPartBytes}, log).replaces);
-  // An older one, fetched for too long, makes room.
+  // An older snapshot that is fetched for too long is replaced.
   for (int i = 0; i < 121; ++i) {
     now += 1s;
     sender.answer(now, {first, kPartBytes}, log);
@@ -429,25 +434,26 @@
   BOOST_TEST(sender.answer(now, {first, kPartBytes}, log).replaces);
   now += 11s;
   sender.expire(now);
-  BOOST_TEST(sender.kept() == 0u);
-  // What was dropped is encoded anew, and is the same.
+  BOOST_TEST(sender.size() == 0u);
+  // A dropped snapshot is encoded again, with the same bytes.
   const auto again = sender.offer(now, log, 0).id;
   now += 11s;
   sender.expire(now);
   BOOST_TEST(!sender.answer(now, {again, kPartBytes}, log).replaces);
 }
 
-BOOST_AUTO_TEST_CASE(given_a_sender_when_a_kept_snapshot_leads_on_by_entries_then_it_is_offered_again) {
+BOOST_AUTO_TEST_CASE(given_a_sender_when_entries_can_follow_a_kept_snapshot_then_it_is_offered_again) {
   SnapshotSender sender;
   fleet::ChangeLog log;
   push(log, wire::Change::REPLACE, config_body(1, 0));
   const auto first = sender.offer(Time{1h}, log, 0).id;
   push(log, wire::Change::EVACUATE, "z1");
   BOOST_TEST((sender.offer(Time{1h}, log, 0).id == first));
-  BOOST_TEST(sender.offer(Time{1h}, log, 1).id.position == 2u);  // of use to who holds the first
+  BOOST_TEST(sender.offer(Time{1h}, log, 1).id.position == 2u);  // newer than the first snapshot
 }
 
-struct Parts {  // a snapshot of some parts, by hand
+// A snapshot of several parts.
+struct Parts {
   explicit Parts(std::uint64_t version) {
     push(log, wire::Change::REPLACE, many_routes(version, 0, 2000));
     snapshot = transfer::encode(log.state());
@@ -460,7 +466,7 @@
   std::shared_ptr<const transfer::Snapshot> snapshot;
 };
 
-BOOST_AUTO_TEST_CASE(given_a_fetch_when_parts_of_another_digest_or_place_come_then_they_are_passed_over) {
+BOOST_AUTO_TEST_CASE(given_a_fetch_when_parts_of_another_digest_or_offset_arrive_then_they_are_ignored) {
   const Parts good(3), other(4);
   SnapshotReceiver receiver;
   const Time now{1h};
@@ -469,19 +475,20 @@
     BOOST_TEST(receiver.on_part(now, "b", part, 1).requests.empty());
   BOOST_TEST(receiver.received() == kPartBytes);
   auto cut_short = good.at(kPartBytes);
-  cut_short.total = kPartBytes;  // a part beyond its whole
+  cut_short.total = kPartBytes;  // a part beyond the total size
   receiver.on_part(now, "a", cut_short, 1);
   BOOST_TEST(receiver.received() == kPartBytes);
-  std::optional<configuration::State> whole;
+  std::optional<configuration::State> completed;
   for (std::uint64_t offset = kPartBytes; offset < good.snapshot->bytes.size(); offset += kPartBytes) {
-    BOOST_TEST(!whole.has_value());
-    whole = receiver.on_part(now, "a", good.at(offset), 1).whole;
+    BOOST_TEST(!completed.has_value());
+    completed = receiver.on_part(now, "a", good.at(offset), 1).completed;
   }
-  BOOST_REQUIRE(whole.has_value());
-  BOOST_TEST(whole->version() == 3u);
+  BOOST_REQUIRE(completed.has_value());
+  BOOST_TEST(completed->version() == 3u);
 }
 
-BOOST_AUTO_TEST_CASE(given_two_sources_of_one_snapshot_when_one_ends_then_the_other_is_asked_for_the_rest) {
+BOOST_AUTO_TEST_CASE(
+    given_two_sources_of_one_snapshot_when_one_disconnects_then_the_other_is_asked_for_the_rest) {
   const Parts good(3), other(4);
   SnapshotReceiver receiver;
   const Time now{1h};
@@ -494,26 +501,26 @@
   BOOST_TEST(at_c[0].source == "c");
   BOOST_TEST((at_c[0].part.id == good.snapshot->id));
   BOOST_TEST(at_c[0].part.offset == 2 * kPartBytes);
-  // Also who offers another one may still hold it.
+  // A source that offers another snapshot may still hold this one.
   const auto at_b = receiver.on_source_lost(now, "c").requests;
   BOOST_REQUIRE(at_b.size() == 2u);
   BOOST_TEST(at_b[0].source == "b");
   BOOST_TEST((at_b[0].part.id == good.snapshot->id));
   auto replacement = other.at(0);
   replacement.replaces = true;
-  const auto anew = receiver.on_part(now, "b", replacement, 1).requests;
-  BOOST_REQUIRE(anew.size() == 2u);
-  BOOST_TEST((anew[0].part.id == other.snapshot->id));
-  BOOST_TEST(anew[0].part.offset == kPartBytes);
+  const auto restarted = receiver.on_part(now, "b", replacement, 1).requests;
+  BOOST_REQUIRE(restarted.size() == 2u);
+  BOOST_TEST((restarted[0].part.id == other.snapshot->id));
+  BOOST_TEST(restarted[0].part.offset == kPartBytes);
   receiver.on_source_lost(now, "b");
   BOOST_TEST(receiver.paused());
 }
 
-BOOST_AUTO_TEST_CASE(given_a_snapshot_when_it_is_older_or_does_not_fit_its_digest_then_it_is_refused) {
+BOOST_AUTO_TEST_CASE(given_a_snapshot_when_it_is_older_or_does_not_match_its_digest_then_it_is_rejected) {
   const Parts good(3);
   const Time now{1h};
   SnapshotReceiver receiver;
-  receiver.on_part(now, "a", good.at(0), 2);  // change 2 or later is of use
+  receiver.on_part(now, "a", good.at(0), 2);  // only change 2 or later is useful
   BOOST_TEST(!receiver.fetching());
   auto bytes = good.snapshot->bytes;
   bytes[bytes.size() - 1] = static_cast<char>(bytes[bytes.size() - 1] ^ 1);
@@ -522,7 +529,7 @@
     auto part = good.at(offset);
     part.bytes = std::string_view(bytes).substr(offset, kPartBytes);
     step = receiver.on_part(now, "a", part, 1);
-    BOOST_TEST(!step.whole.has_value());
+    BOOST_TEST(!step.completed.has_value());
   }
   BOOST_TEST(step.failed);
   BOOST_TEST(!receiver.fetching());
@@ -534,15 +541,15 @@
   BOOST_TEST(log.position() == 2u);
 }
 
-// ---- any order of events
+// ---- random orders of events
 
-BOOST_AUTO_TEST_CASE(given_cuts_and_changes_by_chance_when_they_end_then_the_follower_has_all) {
+BOOST_AUTO_TEST_CASE(given_random_cuts_and_changes_when_they_end_then_the_follower_has_all) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     Net net(3, 20e6, 5ms);
     std::vector<std::pair<wire::Change, std::string>> history;
     std::uint64_t version = 0, last = 0;
-    const auto learn = [&](std::size_t i) {  // each source learns the same changes, at its own time
+    const auto learn = [&](std::size_t i) {  // each source learns the same changes, at its own pace
       const auto at = net.sources[i].log.position();
       if (at < history.size()) net.change_at(i, history[at].first, history[at].second);
     };
@@ -572,44 +579,45 @@
                                                                        << " of " << history.size());
     if (!history.empty())
       BOOST_TEST(bytes_of_state(net.follower.changes()) == bytes_of_state(net.sources[0].log));
-    // And what comes later reaches it over any one of them.
+    // A later change reaches it through any one of them.
     net.run(1s);
-    const auto alone = random() % 3;
-    net.change_at(alone, wire::Change::EVACUATE, "last");
+    const auto single_source = random() % 3;
+    net.change_at(single_source, wire::Change::EVACUATE, "last");
     BOOST_TEST(net.run_until([&] { return net.caught_up(); }), "seed " << seed << " misses the last");
   }
 }
 
-BOOST_AUTO_TEST_CASE(given_a_copy_that_stays_behind_when_nothing_comes_then_all_sources_are_asked_anew) {
+BOOST_AUTO_TEST_CASE(given_a_lagging_copy_when_nothing_arrives_then_all_sources_are_asked_again) {
   for (const std::size_t routes : {3, 400}) {  // one part, many parts
     Net net(2);
     net.change(wire::Change::REPLACE, many_routes(1, 0, routes));
     net.link(0);
     if (routes > 3) net.run_until([&] { return net.sources[0].bytes_down > 0; });
-    net.sources[0].deaf = true;
+    net.sources[0].drops_requests = true;
     net.run(1s);
-    BOOST_TEST(net.follower.changes().position() == 0u);  // its question was lost, or that for further parts
+    BOOST_TEST(net.follower.changes().position() == 0u);  // its request was lost, or that for further parts
     const auto watched = [&](Duration time) {
       for (const Time until = net.now + time; net.now < until; net.run(500ms)) {
         net.follower.on_core_position(net.now, 1);
         net.follower.check_progress(net.now);
       }
     };
-    net.sources[0].deaf = false;
+    net.sources[0].drops_requests = false;
     watched(1s);
-    BOOST_TEST(net.follower.changes().position() == 0u);  // patience: a far source may be slow
+    BOOST_TEST(net.follower.changes().position() == 0u);  // not yet: a distant source may be slow
     BOOST_TEST(net.follower.lagging_since(net.now).has_value());
     watched(2s);
     BOOST_TEST(net.follower.changes().position() == 1u);
     BOOST_TEST(!net.follower.lagging_since(net.now).has_value());
-    BOOST_TEST(net.notes.size() >= 3u);  // behind, asked anew, caught up
+    BOOST_TEST(net.log_messages.size() >= 3u);  // lagging, asked again, caught up
   }
 }
 
-// Everything starts at once: sources learn what the core has at their own pace, a follower without a copy links to them,
-// and links end at any frame. Nothing new is agreed meanwhile, so that no later push makes up for a lost one.
+// Everything starts at once: sources learn the core's changes at their own pace, a follower without a copy
+// connects to them, and links are cut at any frame. Nothing is committed meanwhile, so that no later push
+// hides a lost one.
 BOOST_AUTO_TEST_CASE(
-    given_a_start_of_everything_when_links_end_at_any_frame_then_the_copy_is_whole_without_news) {
+    given_a_start_of_everything_when_links_are_cut_at_any_frame_then_the_copy_completes_without_new_changes) {
   for (std::uint64_t seed = 1; seed <= last_seed(100); ++seed) {
     std::mt19937_64 random(seed);
     Net net(3, random() % 2 == 0 ? 2e6 : 1e9, random() % 2 == 0 ? 1ms : 55ms);
@@ -631,7 +639,7 @@
       if (random() % 4 == 0) learn(i);
       net.run(std::chrono::milliseconds(random() % 4));
     }
-    // From here on nothing ends any more; what was cut is linked again, and at least one source has all.
+    // From here on no link is cut; all links are restored, and at least one source has everything.
     for (std::size_t n = 0; n < history.size(); ++n) learn(0);
     for (std::size_t i = 0; i < 3; ++i) {
       net.run(std::chrono::milliseconds(random() % 30));
