--- a/src/system/store/store.cpp
+++ b/src/system/store/store.cpp
@@ -287,11 +287,11 @@
   const auto least = replica_.has_state() ? replica_.state().position + 1 : 0;
   const auto step = receiver_.on_part(now, from, transfer::get(frame), least);
   carry_out(step);
-  if (step.whole) carry_out(replica_.receive_snapshot(now, *step.whole));
+  if (step.completed) carry_out(replica_.receive_snapshot(now, *step.completed));
 }
 
 void Store::carry_out(const transfer::SnapshotReceiver::Step& step) {
-  for (const auto& note : step.notes) log_.info(note);
+  for (const auto& note : step.log_messages) log_.info(note);
   for (const auto& request : step.requests) {
     const auto store = stores_.find(request.source);
     if (store == stores_.end() || !store->second->up()) continue;
