--- a/src/system/fleet/records.cpp
+++ b/src/system/fleet/records.cpp
@@ -7,38 +7,44 @@
 namespace docklift::fleet {
 namespace {
 
-constexpr Duration kColdSlop = std::chrono::milliseconds(250);  // told remainders differ by delays alone
+// Remaining times of one record differ by network delays alone.
+constexpr Duration kColdTolerance = std::chrono::milliseconds(250);
 
 bool cold_differs(const Server& a, const Server& b, Time now) {
   const bool a_is_cold = a.cold_until > now;
   const bool b_is_cold = b.cold_until > now;
   if (a_is_cold != b_is_cold) return true;
-  return a_is_cold && std::max(a.cold_until, b.cold_until) - std::min(a.cold_until, b.cold_until) > kColdSlop;
+  return a_is_cold &&
+         std::max(a.cold_until, b.cold_until) - std::min(a.cold_until, b.cold_until) > kColdTolerance;
 }
 
 }  // namespace
 
-Merged Servers::merge(const Server& s) {
+MergeResult Servers::merge(const Server& s) {
   const auto [it, fresh] = all_.try_emplace(s.id, s);
-  if (fresh) return Merged::changed;
+  if (fresh) return MergeResult::changed;
   auto& known = it->second;
-  if (known.phase == Phase::GONE || s.from_cache) return Merged::nothing;
-  const bool as_new = s.calls > known.calls || (s.calls == known.calls && s.phase >= known.phase);
-  const bool confirms_cache = known.from_cache && s.phase != Phase::GONE && as_new;
+  if (known.phase == Phase::GONE || s.from_cache) return MergeResult::unchanged;
+  const bool at_least_as_new = s.heartbeat_sequence > known.heartbeat_sequence ||
+                               (s.heartbeat_sequence == known.heartbeat_sequence && s.phase >= known.phase);
+  const bool confirms_cache = known.from_cache && s.phase != Phase::GONE && at_least_as_new;
   if (!confirms_cache && s.phase != Phase::GONE &&
-      (s.calls < known.calls || (s.calls == known.calls && s.phase <= known.phase))) {
-    if (s.calls == known.calls && s.heard > known.heard) return known.heard = s.heard, Merged::heard;
-    return Merged::nothing;
+      (s.heartbeat_sequence < known.heartbeat_sequence ||
+       (s.heartbeat_sequence == known.heartbeat_sequence && s.phase <= known.phase))) {
+    if (s.heartbeat_sequence == known.heartbeat_sequence && s.received_at > known.received_at)
+      return known.received_at = s.received_at, MergeResult::refreshed;
+    return MergeResult::unchanged;
   }
   const bool changed = known.phase != s.phase || known.address != s.address || known.service != s.service ||
-                       known.cap != s.cap || cold_differs(known, s, s.heard);
-  if (s.phase == Phase::GONE) {  // a leave tells the id alone
-    known.phase = Phase::GONE, known.heard = s.heard, known.calls = std::max(known.calls, s.calls);
+                       known.cap != s.cap || cold_differs(known, s, s.received_at);
+  if (s.phase == Phase::GONE) {  // a leave carries only the id
+    known.phase = Phase::GONE, known.received_at = s.received_at,
+    known.heartbeat_sequence = std::max(known.heartbeat_sequence, s.heartbeat_sequence);
     known.from_cache = false;
-    return Merged::changed;
+    return MergeResult::changed;
   }
   known = s;
-  return changed ? Merged::changed : Merged::heard;
+  return changed ? MergeResult::changed : MergeResult::refreshed;
 }
 
 const Server* Servers::find(const std::string& id) const {
@@ -46,92 +52,94 @@
   return it == all_.end() ? nullptr : &it->second;
 }
 
-std::vector<Server> Servers::expire(Time now, Duration silence, Duration kept) {
-  std::vector<Server> lost;
+std::vector<Server> Servers::expire(Time now, Duration timeout, Duration retention) {
+  std::vector<Server> expired;
   for (auto it = all_.begin(); it != all_.end();) {
     auto& s = it->second;
     if (s.phase == Phase::GONE) {
-      it = now - s.heard > kept ? all_.erase(it) : std::next(it);
+      it = now - s.received_at > retention ? all_.erase(it) : std::next(it);
       continue;
     }
-    if (silence > Duration{} && now - s.heard > silence) {
-      lost.push_back(s);
-      it = all_.erase(it);  // not a tombstone: it comes back with its next beat
+    if (timeout > Duration{} && now - s.received_at > timeout) {
+      expired.push_back(s);
+      it = all_.erase(it);  // no tombstone: the server returns with its next heartbeat
       continue;
     }
     ++it;
   }
-  return lost;
+  return expired;
 }
 
 std::size_t Servers::range_of(const std::string& id, std::size_t ranges) { return hash_of(id) % ranges; }
 
 std::vector<std::uint64_t> Servers::digests(std::size_t ranges) const {
-  std::vector<std::uint64_t> out(ranges);
+  std::vector<std::uint64_t> result(ranges);
   for (const auto& [id, s] : all_) {
     if (s.from_cache) continue;
-    out[range_of(id, ranges)] ^= mix(hash_of(id) ^ hash_of(s.address, 7) ^
-                                     static_cast<std::uint64_t>(s.phase));
+    result[range_of(id, ranges)] ^= mix(hash_of(id) ^ hash_of(s.address, 7) ^
+                                        static_cast<std::uint64_t>(s.phase));
   }
-  return out;
+  return result;
 }
 
-Merged Nodes::merge(const Node& n) {
+MergeResult Nodes::merge(const Node& n) {
   if (const auto ended = ended_.find(n.id);
-      ended != ended_.end() && !all_.contains(n.id) && n.life < ended->second)
-    return Merged::nothing;
+      ended != ended_.end() && !all_.contains(n.id) && n.incarnation < ended->second)
+    return MergeResult::unchanged;
   const auto [it, fresh] = all_.try_emplace(n.id, n);
-  if (fresh) return Merged::changed;
+  if (fresh) return MergeResult::changed;
   auto& known = it->second;
-  if (n.life < known.life || (n.life == known.life && n.stamp <= known.stamp)) return Merged::nothing;
-  const bool changed = n.life != known.life || n.ready != known.ready || n.leaving != known.leaving ||
-                       n.address != known.address;
+  if (n.incarnation < known.incarnation || (n.incarnation == known.incarnation && n.stamp <= known.stamp))
+    return MergeResult::unchanged;
+  const bool changed = n.incarnation != known.incarnation || n.ready != known.ready ||
+                       n.leaving != known.leaving || n.address != known.address;
   known = n;
-  return changed ? Merged::changed : Merged::heard;
+  return changed ? MergeResult::changed : MergeResult::refreshed;
 }
 
 std::vector<Node> Nodes::expire(Time now, Duration lease) {
-  std::vector<Node> out;
+  std::vector<Node> result;
   for (auto it = all_.begin(); it != all_.end();) {
-    if (now - it->second.heard <= lease) {
+    if (now - it->second.received_at <= lease) {
       ++it;
       continue;
     }
-    ended_[it->first] = it->second.life;
-    out.push_back(it->second);
+    ended_[it->first] = it->second.incarnation;
+    result.push_back(it->second);
     it = all_.erase(it);
   }
   if (ended_.size() > 4096) ended_.clear();
-  return out;
+  return result;
 }
 
 void put(wire::Server::Builder to, const Server& s, Time now) {
   to.setId(s.id), to.setService(s.service), to.setAddress(s.address), to.setZone(s.zone);
-  to.setCap(s.cap), to.setPhase(s.phase), to.setCalls(s.calls);
+  to.setCap(s.cap), to.setPhase(s.phase), to.setCalls(s.heartbeat_sequence);
   to.setColdMs(s.cold_until > now ? millis(s.cold_until - now) : 0);
-  to.setAgeMs(millis(now - s.heard));
+  to.setAgeMs(millis(now - s.received_at));
 }
 
 Server get(wire::Server::Reader r, Time now) {
   Server s;
   s.id = r.getId().cStr(), s.service = r.getService().cStr(), s.address = r.getAddress().cStr();
-  s.zone = r.getZone().cStr(), s.cap = r.getCap(), s.phase = r.getPhase(), s.calls = r.getCalls();
-  s.heard = now - from_millis(r.getAgeMs());
+  s.zone = r.getZone().cStr(), s.cap = r.getCap(), s.phase = r.getPhase(),
+  s.heartbeat_sequence = r.getCalls();
+  s.received_at = now - from_millis(r.getAgeMs());
   s.cold_until = r.getColdMs() > 0 ? now + from_millis(r.getColdMs()) : Time{};
   return s;
 }
 
 void put(wire::Node::Builder to, const Node& n, Time now) {
-  to.setId(n.id), to.setLife(n.life), to.setStamp(n.stamp), to.setRole(n.role), to.setZone(n.zone);
+  to.setId(n.id), to.setLife(n.incarnation), to.setStamp(n.stamp), to.setRole(n.role), to.setZone(n.zone);
   to.setAddress(n.address), to.setReady(n.ready), to.setLeaving(n.leaving),
-      to.setAgeMs(millis(now - n.heard)), to.setTerm(n.term);
+      to.setAgeMs(millis(now - n.received_at)), to.setTerm(n.term);
 }
 
 Node get(wire::Node::Reader r, Time now) {
   Node n;
-  n.id = r.getId().cStr(), n.life = r.getLife(), n.stamp = r.getStamp(), n.role = r.getRole();
+  n.id = r.getId().cStr(), n.incarnation = r.getLife(), n.stamp = r.getStamp(), n.role = r.getRole();
   n.zone = r.getZone().cStr(), n.address = r.getAddress().cStr();
-  n.ready = r.getReady(), n.leaving = r.getLeaving(), n.heard = now - from_millis(r.getAgeMs());
+  n.ready = r.getReady(), n.leaving = r.getLeaving(), n.received_at = now - from_millis(r.getAgeMs());
   n.term = r.getTerm();
   return n;
 }
--- a/src/system/registry/handlers.cpp
+++ b/src/system/registry/handlers.cpp
@@ -31,7 +31,7 @@
   if (const auto id = path_after(call.path(), "/Instances.Leave/")) {
     fleet::Server s;
     if (const auto* known = registry_.servers().find(*id)) s = *known;
-    s.id = *id, s.phase = fleet::Phase::GONE, s.heard = now;
+    s.id = *id, s.phase = fleet::Phase::GONE, s.received_at = now;
     registry_.on_server_update(s);
     respond(acknowledge_departure());
     return true;
@@ -43,9 +43,9 @@
   try {
     fleet::Server s;
     s.id = *id, s.service = text("svc"), s.address = text("addr"), s.zone = text("az");
-    s.cap = std::max(1u, body.value("cap", 1u)), s.calls = body.value("calls", std::uint64_t{0});
+    s.cap = std::max(1u, body.value("cap", 1u)), s.heartbeat_sequence = body.value("calls", std::uint64_t{0});
     s.phase = text("phase") == "draining" ? fleet::Phase::DRAINING : fleet::Phase::READY;
-    s.heard = now;
+    s.received_at = now;
     const double cold = body.value("warm_left_ms", 0.0);
     s.cold_until = cold > 0 ? now + from_millis(cold) : Time{};
     if (s.service.empty() || failed(endpoint_of(s.address))) {
--- a/src/system/registry/registry.hpp
+++ b/src/system/registry/registry.hpp
@@ -99,7 +99,7 @@
   void on_peer_frame(const std::string& ip, wire::Frame::Reader frame);
   void on_gossip(wire::Gossip::Reader g, const std::shared_ptr<Link>& answer_on);
   void on_unit_request(Proxy& p, wire::UnitRequest::Reader request);
-  void on_update_applied(fleet::ChangeLog::News update);
+  void on_update_applied(fleet::ChangeLog::Outcome update);
   void send_changes(Proxy& proxy);
   void send_to_store(const std::string& ip, fleet::Outgoing& out);
   void dial(const std::string& ip);
@@ -178,7 +178,7 @@
   std::uint64_t counting_term_ = 0;
   std::uint64_t announced_term_ = 0;
   bool members_changed_ = false, servers_changed_ = false;
-  fleet::ToldMembers announced_proxies_;
+  fleet::SentMembers announced_proxies_;
   std::vector<std::string> announced_registries_;
   std::map<std::string, fleet::Server> server_updates_;  // by id, to be sent to the proxies
   std::unique_ptr<RecordCache> record_cache_;
--- a/src/system/registry/registry_changes.cpp
+++ b/src/system/registry/registry_changes.cpp
@@ -38,8 +38,8 @@
   if (feed_.next(clock_.now(), proxy.changes, changes_, out)) proxy.link->send(out.message());
 }
 
-void Registry::on_update_applied(fleet::ChangeLog::News update) {
-  if (update != fleet::ChangeLog::News::taken) return;
+void Registry::on_update_applied(fleet::ChangeLog::Outcome update) {
+  if (update != fleet::ChangeLog::Outcome::applied) return;
   const bool was_confirmed = confirmed_once();
   confirmation_.advanced(changes_.position());
   if (!was_confirmed && confirmed_once()) {
@@ -107,10 +107,10 @@
 }
 
 void Registry::end_read_barrier(Time started, std::uint64_t position) {
-  follower_.on_core_at(clock_.now(), position);
+  follower_.on_core_position(clock_.now(), position);
   const bool was_confirmed = confirmed_once();
   if (!confirmation_.answered(started, position, changes_.position()))
-    return follower_.on_core_behind(position);
+    return follower_.on_core_regressed(position);
   if (!was_confirmed && confirmed_once()) on_first_confirmation();
   for (auto& [link, p] : proxies_) {
     const auto token = p.confirm_requests.answerable(started);
