--- a/src/system/base/result.hpp
+++ b/src/system/base/result.hpp
@@ -12,7 +12,7 @@
   std::string step;  // what was being done: "connect", "read settings"
   std::string peer;  // where: an address, a file, a field; empty: here
   std::string what;  // why, in a short sentence
-  std::string shown() const { return step + (peer.empty() ? "" : " at " + peer) + ": " + what; }
+  std::string to_string() const { return step + (peer.empty() ? "" : " at " + peer) + ": " + what; }
 };
 
 template <class T>
--- a/src/system/base/settings.cpp
+++ b/src/system/base/settings.cpp
@@ -86,8 +86,8 @@
   r.take("bind_ip", s.bind_ip, true), r.take("az", s.zone, true), r.take("rgn", s.region);
   r.take("datadir", s.data_dir), r.take("bootstrap", s.bootstrap), r.take("voting", s.voting);
   r.take("limits.cpu", s.cpu), r.take("limits.mem_mb", s.memory_mb), r.take("limits.nofile", s.descriptors);
-  r.take("hb_ms", s.beat_ms), r.take("tolerance.nodes", s.tolerate_nodes);
-  r.take("tolerance.azs", s.tolerate_zones), r.take("tolerance.rgns", s.tolerate_regions);
+  r.take("hb_ms", s.heartbeat_ms), r.take("tolerance.nodes", s.tolerated_node_failures);
+  r.take("tolerance.azs", s.tolerated_zone_failures), r.take("tolerance.rgns", s.tolerated_region_failures);
   auto& b = s.bounds;
   r.take("bounds.seed_lag_s", b.seed_lag_s), r.take("bounds.reuse_s", b.reuse_s);
   r.take("bounds.sync_s", b.sync_s), r.take("bounds.grace_s", b.grace_s);
@@ -103,10 +103,10 @@
   r.take("bounds.ttl_max_s", b.ttl_max_s), r.take("bounds.strict_revoke", b.strict_revoke);
   std::string ports;
   std::string seeds;
-  std::string contracts;
-  r.take("port_range", ports, true), r.take("seeds", seeds, true), r.take("invariants", contracts);
+  std::string invariants;
+  r.take("port_range", ports, true), r.take("seeds", seeds, true), r.take("invariants", invariants);
   s.seeds = parts(seeds);
-  for (auto& c : parts(contracts)) s.contracts.insert(c);
+  for (auto& c : parts(invariants)) s.invariants.insert(c);
   const auto range = parts(ports);
   try {
     if (range.size() != 2) throw std::invalid_argument(ports);
--- a/src/system/base/settings.hpp
+++ b/src/system/base/settings.hpp
@@ -31,9 +31,9 @@
   bool bootstrap = false, voting = false;
   std::uint64_t memory_mb = 256, descriptors = 1024;
   double cpu = 1;
-  std::uint32_t beat_ms = 1500;
-  std::set<std::string> contracts;
-  std::uint32_t tolerate_nodes = 1, tolerate_zones = 0, tolerate_regions = 0;
+  std::uint32_t heartbeat_ms = 1500;
+  std::set<std::string> invariants;
+  std::uint32_t tolerated_node_failures = 1, tolerated_zone_failures = 0, tolerated_region_failures = 0;
   Bounds bounds;
 
   // The region of a zone; empty if the zone is not known.
--- a/src/system/disk/disk.cpp
+++ b/src/system/disk/disk.cpp
@@ -86,7 +86,7 @@
   const auto status = disk->open_database();
   if (status.IsCorruption()) {
     disk.reset();
-    return begin_anew(folder);
+    return recreate(folder);
   }
   if (!status.ok()) return Failure{"open the disk", folder, status.ToString()};
   if (auto found = disk->find_last_write(); failed(found)) return failure(found);
@@ -94,7 +94,7 @@
 }
 
 // Both names are durable before the new disk is used: else the old one could come back under it.
-Result<std::unique_ptr<Disk>> Disk::begin_anew(const std::string& folder) {
+Result<std::unique_ptr<Disk>> Disk::recreate(const std::string& folder) {
   const auto damaged = folder + ".damaged";
   std::error_code error;
   std::filesystem::remove_all(damaged, error);
@@ -246,7 +246,7 @@
   news_.notify_one();
 }
 
-std::size_t DiskThread::waiting() const {
+std::size_t DiskThread::queued_writes() const {
   const std::lock_guard held(lock_);
   return queue_.size();
 }
@@ -305,7 +305,7 @@
 bool DiskThread::set_aside(const Failure& why) {
   const auto folder = disk_->folder();
   disk_.reset();
-  Disk::begin_anew(folder);  // where that fails the next start finds what is missing
+  Disk::recreate(folder);  // where that fails the next start finds what is missing
   lost_(why);
   return false;
 }
--- a/src/system/disk/disk.hpp
+++ b/src/system/disk/disk.hpp
@@ -33,7 +33,7 @@
   static Result<std::unique_ptr<Disk>> open(const std::string& folder, leveldb::Env& env = durable_env());
   ~Disk();
   // Sets aside (`*.damaged`) what can't be read, and opens an empty one. Of the machine's files only.
-  static Result<std::unique_ptr<Disk>> begin_anew(const std::string& folder);
+  static Result<std::unique_ptr<Disk>> recreate(const std::string& folder);
   // A failure: the disk refused to be read, or it is_damaged().
   Result<agreement::DurableState> read();
   // The last read() found a record that can't be understood, or writes missing among others. A disk that only refuses
@@ -71,7 +71,7 @@
   DiskThread(std::unique_ptr<Disk> disk, Lost lost);
   ~DiskThread();  // what is queued is dropped, what is being written ends
   void write(agreement::Write w, std::function<void()> done);
-  std::size_t waiting() const;
+  std::size_t queued_writes() const;
 
  private:
   void run();
--- a/src/system/net/link.cpp
+++ b/src/system/net/link.cpp
@@ -17,7 +17,7 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-Result<Tcp::endpoint> endpoint_of(const std::string& text) {
+Result<Tcp::endpoint> parse_endpoint(const std::string& text) {
   const auto at = snowknot::endpoint_of(text);
   if (!at || at->port() == 0) return Failure{"read address", text, "not IP:PORT"};
   return *at;
--- a/src/system/net/link.hpp
+++ b/src/system/net/link.hpp
@@ -31,7 +31,7 @@
 using Acceptor = boost::asio::basic_socket_acceptor<Tcp, snowknot::Executor>;
 
 // ip:port as endpoint; a failure names the text.
-Result<Tcp::endpoint> endpoint_of(const std::string& text);
+Result<Tcp::endpoint> parse_endpoint(const std::string& text);
 // Drops what is sent to a peer that says nothing, so that a cut does not hang a connection.
 void set_peer_timeout(Socket& socket, Duration timeout);
 
@@ -100,7 +100,7 @@
   void start();
   void stop();
   const std::shared_ptr<Link>& link() const { return link_; }  // null or closed while there is none
-  bool up() const { return link_ && link_->open(); }
+  bool is_connected() const { return link_ && link_->open(); }
   const Tcp::endpoint& to() const { return to_; }
 
  private:
--- a/src/system/program/program.cpp
+++ b/src/system/program/program.cpp
@@ -57,7 +57,7 @@
     const auto& invalid = failure(settings);
     std::istringstream lines(invalid.what);
     for (std::string line; std::getline(lines, line);)
-      std::cerr << program.name << ": " << Failure{invalid.step, invalid.peer, line}.shown() << '\n';
+      std::cerr << program.name << ": " << Failure{invalid.step, invalid.peer, line}.to_string() << '\n';
     return 2;
   }
   if (check_only) return 0;
@@ -88,7 +88,7 @@
     if (signal == SIGHUP) {
       auto settings = read_settings(settings_path());
       if (failed(settings)) {
-        log_.warn("reload failed, keeping the current settings: " + failure(settings).shown());
+        log_.warn("reload failed, keeping the current settings: " + failure(settings).to_string());
       } else {
         log_.info("settings reloaded");
         reload_(value(settings));
--- a/src/system/proxy/control_client.cpp
+++ b/src/system/proxy/control_client.cpp
@@ -99,7 +99,7 @@
         update_holder_reachability();
       },
       [this, ip](const Failure& error) {
-        log_.debug(error.shown());
+        log_.debug(error.to_string());
         follower_.on_lost(clock_.now(), ip);
         failing_since_.try_emplace(ip, clock_.now());
         if (proxies_.forget(ip)) listener_.on_proxies(proxies_.all());
@@ -112,7 +112,7 @@
 
 void ControlClient::send_to(const std::string& ip, fleet::Outgoing& out) {
   const auto link = links_.find(ip);
-  if (link != links_.end() && link->second->up()) link->second->link()->send(out.message());
+  if (link != links_.end() && link->second->is_connected()) link->second->link()->send(out.message());
 }
 
 void ControlClient::set_state(bool ready, bool leaving) {
@@ -127,7 +127,7 @@
   fleet::put_hello(out, self_, clock_.now());
   const auto token = new_confirm_token();
   for (auto& [ip, dialer] : links_) {
-    if (!dialer->up()) continue;
+    if (!dialer->is_connected()) continue;
     dialer->link()->send(out.message());
     request_confirmation(*dialer->link(), token);
   }
@@ -189,13 +189,13 @@
 
 void ControlClient::update_holder_reachability() {
   const auto link = links_.find(holder_);
-  const bool reachable = !holder_.empty() && link != links_.end() && link->second->up();
+  const bool reachable = !holder_.empty() && link != links_.end() && link->second->is_connected();
   if (std::exchange(holder_reachable_, reachable) != reachable) listener_.on_holder_reachable(reachable);
 }
 
 void ControlClient::request_units(const std::vector<decisions::UnitRequest>& orders) {
   const auto link = links_.find(holder_);
-  if (link == links_.end() || !link->second->up()) return listener_.on_grants_failed();
+  if (link == links_.end() || !link->second->is_connected()) return listener_.on_grants_failed();
   fleet::Outgoing out;
   auto request = out.frame().initUnitRequest();
   request.setCall(unit_requests_.sent(clock_.now())), request.setTerm(term_);
--- a/src/system/proxy/main.cpp
+++ b/src/system/proxy/main.cpp
@@ -11,7 +11,7 @@
                        const Log log("proxy");
                        proxy::Proxy proxy(io, settings);
                        if (const auto started = proxy.start(); failed(started))
-                         return log.error(failure(started).shown()), 2;
+                         return log.error(failure(started).to_string()), 2;
                        const Signals signals(
                            io, [&] { proxy.drain([&] { io.stop(); }); }, [](const SystemSettings&) {});
                        io.run();
--- a/src/system/proxy/proxy.cpp
+++ b/src/system/proxy/proxy.cpp
@@ -33,7 +33,7 @@
   const auto http = settings_.listen.find("http");
   const auto ready = settings_.listen.find("readyz");
   if (http == settings_.listen.end()) return Failure{"read settings", "listen.http", "is missing"};
-  auto endpoint = endpoint_of(http->second);
+  auto endpoint = parse_endpoint(http->second);
   if (failed(endpoint)) return failure(endpoint);
   acceptor_.open(value(endpoint).protocol());
   acceptor_.set_option(Acceptor::reuse_address(true));
@@ -41,7 +41,7 @@
   acceptor_.listen(1024);
   accept();
   if (ready != settings_.listen.end()) {
-    auto ready_endpoint = endpoint_of(ready->second);
+    auto ready_endpoint = parse_endpoint(ready->second);
     if (failed(ready_endpoint)) return failure(ready_endpoint);
     readyz_ = std::make_unique<http::Server>(
         io_, value(ready_endpoint), http::ServerLimits{},
--- a/src/system/registry/handlers.cpp
+++ b/src/system/registry/handlers.cpp
@@ -47,7 +47,7 @@
     s.heard = now;
     const double cold = body.value("warm_left_ms", 0.0);
     s.cold_until = cold > 0 ? now + from_millis(cold) : Time{};
-    if (s.service.empty() || failed(endpoint_of(s.address))) {
+    if (s.service.empty() || failed(parse_endpoint(s.address))) {
       respond({400, body_of_error("svc or addr is missing")});
       return true;
     }
--- a/src/system/registry/main.cpp
+++ b/src/system/registry/main.cpp
@@ -14,7 +14,7 @@
         if (!settings.data_dir.empty()) {
           auto opened = RecordCache::open(settings.data_dir + "/records");
           if (failed(opened)) {
-            log.warn(failure(opened).shown());
+            log.warn(failure(opened).to_string());
           } else {
             record_cache = std::move(value(opened));
           }
@@ -24,8 +24,8 @@
         const auto serve = [&](const char* name, std::vector<std::shared_ptr<Handler>> handlers) {
           const auto at = settings.listen.find(name);
           if (at == settings.listen.end()) return std::unique_ptr<http::Server>();
-          auto where = endpoint_of(at->second);
-          if (failed(where)) throw std::runtime_error(failure(where).shown());
+          auto where = parse_endpoint(at->second);
+          if (failed(where)) throw std::runtime_error(failure(where).to_string());
           return std::make_unique<http::Server>(io, value(where), http::ServerLimits{},
                                                 dispatch(std::move(handlers)));
         };
--- a/src/system/registry/registry.cpp
+++ b/src/system/registry/registry.cpp
@@ -57,7 +57,7 @@
   auto linked = voter_ips();
   std::erase_if(linked, [&](const std::string& ip) {
     const auto d = registries_.find(ip);
-    return ip != settings_.bind_ip && (d == registries_.end() || !d->second->up());
+    return ip != settings_.bind_ip && (d == registries_.end() || !d->second->is_connected());
   });
   return linked;
 }
@@ -122,7 +122,7 @@
         begin_read_barrier();
       },
       [this, ip](const Failure& why) {
-        log_.debug(why.shown());
+        log_.debug(why.to_string());
         follower_.on_lost(clock_.now(), ip);
         for (auto& [call, p] : pending_)
           if (p.store == ip) p.store.clear(), send_pending(call, p);
@@ -139,7 +139,7 @@
         send_hello(*link);
         send_all_records(*link);
       },
-      [this](const Failure& why) { log_.debug(why.shown()); });
+      [this](const Failure& why) { log_.debug(why.to_string()); });
   registries_[ip] = dialer;
   dialer->start();
 }
@@ -347,9 +347,10 @@
 
 // Only who hears all others can tell a silent server from its own isolation.
 void Registry::expire_servers(Time now) {
-  const bool alone = std::ranges::any_of(registries_, [](const auto& r) { return !r.second->up(); });
+  const bool alone = std::ranges::any_of(registries_,
+                                         [](const auto& r) { return !r.second->is_connected(); });
   if (alone || alone_since_ == Time{}) alone_since_ = now;
-  const auto silence = from_millis(kSilentBeats * settings_.beat_ms);
+  const auto silence = from_millis(kSilentBeats * settings_.heartbeat_ms);
   auto lost = servers_.expire(now, now - alone_since_ > silence ? silence : Duration{}, kKept);
   if (lost.empty()) return;
   for (auto& s : lost) s.phase = fleet::Phase::GONE, log_.info("server " + s.id + " is silent");
@@ -391,7 +392,7 @@
   std::string successor;
   for (const auto& ip : voter_ips()) {
     const auto d = registries_.find(ip);
-    if (successor.empty() && d != registries_.end() && d->second->up()) successor = ip;
+    if (successor.empty() && d != registries_.end() && d->second->is_connected()) successor = ip;
   }
   if (const auto request = lease_.release(now, successor)) send_lease_request(*request);
   self_.leaving = true, self_.ready = false;
--- a/src/system/registry/registry.hpp
+++ b/src/system/registry/registry.hpp
@@ -141,7 +141,7 @@
     fill(out.frame());
     const auto frame = std::make_shared<EncodedFrame>(out.message());
     for (auto& [ip, d] : registries_)
-      if (d->up()) d->link()->send(frame);
+      if (d->is_connected()) d->link()->send(frame);
   }
 
   boost::asio::io_context& io_;
--- a/src/system/registry/registry_changes.cpp
+++ b/src/system/registry/registry_changes.cpp
@@ -28,7 +28,7 @@
 
 void Registry::send_to_store(const std::string& ip, fleet::Outgoing& out) {
   const auto store = stores_.find(ip);
-  if (store != stores_.end() && store->second->up()) store->second->link()->send(out.message());
+  if (store != stores_.end() && store->second->is_connected()) store->second->link()->send(out.message());
 }
 
 // A store may have come back with a copy that is old: nothing of it is handed on before a majority's word.
@@ -134,8 +134,8 @@
     return;
   }
   auto to = stores_.find(settings_.bind_ip);
-  if (to == stores_.end() || !to->second->up())
-    to = std::ranges::find_if(stores_, [](const auto& s) { return s.second->up(); });
+  if (to == stores_.end() || !to->second->is_connected())
+    to = std::ranges::find_if(stores_, [](const auto& s) { return s.second->is_connected(); });
   if (to == stores_.end()) return;
   fleet::Outgoing out;
   auto proposal = out.frame().initProposal();
--- a/src/system/store/main.cpp
+++ b/src/system/store/main.cpp
@@ -20,15 +20,15 @@
                          return log.error("read settings: datadir is missing"), 2;
                        const auto folder = settings.data_dir + "/changes";
                        auto disk = Disk::open(folder);
-                       if (failed(disk)) return log.error(failure(disk).shown()), 1;
+                       if (failed(disk)) return log.error(failure(disk).to_string()), 1;
                        auto kept = value(disk)->read();
                        if (failed(kept) && !value(disk)->is_damaged())
-                         return log.error(failure(kept).shown()), 1;
+                         return log.error(failure(kept).to_string()), 1;
                        if (failed(kept)) {  // a store whose disk was lost reads the others' memory
-                         log.error(failure(kept).shown() + "; it is set aside");
+                         log.error(failure(kept).to_string() + "; it is set aside");
                          value(disk).reset();
-                         disk = Disk::begin_anew(folder);
-                         if (failed(disk)) return log.error(failure(disk).shown()), 1;
+                         disk = Disk::recreate(folder);
+                         if (failed(disk)) return log.error(failure(disk).to_string()), 1;
                          kept = agreement::DurableState{};
                        }
                        log.info(value(kept).has_state
--- a/src/system/store/store.cpp
+++ b/src/system/store/store.cpp
@@ -19,7 +19,7 @@
   o.self = s.bind_ip, o.zone = s.zone;
   o.seeds = s.seed_ips();
   o.bootstrap = s.bootstrap, o.can_vote = s.voting;
-  o.tolerated_failures = s.tolerate_nodes;
+  o.tolerated_failures = s.tolerated_node_failures;
   o.lost_voters = std::move(lost_voters);
   o.random_seed = drawn();
   // With the time of day: no earlier disk of this machine has the same.
@@ -68,7 +68,7 @@
 
 // The process ends, and starts again as one whose disk was lost. On the disk's thread.
 void Store::on_disk_lost(const Failure& why) {
-  log_.error(why.shown() + "; it is set aside");
+  log_.error(why.to_string() + "; it is set aside");
   boost::asio::post(io_, lifetime_.bind([this] {
     stop();
     io_.stop();
@@ -113,7 +113,7 @@
         [this, ip](const Failure& why) {
           replica_.on_link_down(ip);
           carry_out(receiver_.on_source_lost(clock_.now(), ip));
-          log_.debug(why.shown());
+          log_.debug(why.to_string());
         });
     stores_[ip] = dialer;
     dialer->start();
@@ -123,7 +123,7 @@
 // A machine that was replaced is not dialled for ever; it dials on its own if it comes back.
 void Store::drop_unreachable(const std::set<std::string>& needed) {
   for (auto it = stores_.begin(); it != stores_.end();) {
-    if (needed.contains(it->first) || it->second->up()) {
+    if (needed.contains(it->first) || it->second->is_connected()) {
       ++it;
       continue;
     }
@@ -160,7 +160,7 @@
         peers_[link.get()] = ip;
         zones_[ip] = node.getZone().cStr();
         dial_others();
-        if (const auto d = stores_.find(ip); d != stores_.end() && d->second->up())
+        if (const auto d = stores_.find(ip); d != stores_.end() && d->second->is_connected())
           replica_.on_link_up(ip, zones_[ip]);
       } else {
         registries_[link.get()] = {link, {}};
@@ -169,7 +169,7 @@
     }
     case wire::Frame::AGREEMENT: {
       const auto from = peers_.find(link.get());
-      if (from == peers_.end() || disk_.waiting() > kWritesWaiting) break;
+      if (from == peers_.end() || disk_.queued_writes() > kWritesWaiting) break;
       if (const auto envelope = agreement::decode(fleet::text_of(frame.getAgreement())))
         carry_out(replica_.receive(now, from->second, *envelope));
       break;
@@ -257,7 +257,7 @@
     return;
   }
   const auto it = stores_.find(to);
-  if (it == stores_.end() || !it->second->up()) return;
+  if (it == stores_.end() || !it->second->is_connected()) return;
   // What is fetched now brings it on.
   const bool fetching = receiver_.fetching() && !receiver_.paused();
   if (fetching && std::holds_alternative<agreement::Fetch>(envelope.message)) return;
@@ -276,7 +276,7 @@
 
 void Store::offer_snapshot(const agreement::SnapshotRequest& need) {
   const auto store = stores_.find(need.to);
-  if (store == stores_.end() || !store->second->up()) return;
+  if (store == stores_.end() || !store->second->is_connected()) return;
   fleet::Outgoing frame;
   feed_.offer(clock_.now(), need.after, changes_, frame);
   store->second->link()->send(frame.message());
@@ -294,7 +294,7 @@
   for (const auto& note : step.notes) log_.info(note);
   for (const auto& request : step.requests) {
     const auto store = stores_.find(request.source);
-    if (store == stores_.end() || !store->second->up()) continue;
+    if (store == stores_.end() || !store->second->is_connected()) continue;
     fleet::Outgoing frame;
     transfer::put(frame.frame().initSnapshotPartRequest(), request.part);
     store->second->link()->send(frame.message());
@@ -322,7 +322,7 @@
   timer_.async_wait(lifetime_.bind([this](boost::system::error_code failed_wait) {
     if (failed_wait || stopped_) return;
     feed_.expire(clock_.now());
-    if (disk_.waiting() <= kWritesWaiting) carry_out(replica_.tick(clock_.now()));
+    if (disk_.queued_writes() <= kWritesWaiting) carry_out(replica_.tick(clock_.now()));
     tick();
   }));
 }
--- a/tests/system/control_fleet.cpp
+++ b/tests/system/control_fleet.cpp
@@ -276,7 +276,7 @@
   auto& member = members_[index];
   auto kept = member.disk.open(random_);
   if (!failed(kept)) return std::move(value(kept));
-  contradictions_.push_back("the disk of " + member.address + " is damaged: " + failure(kept).shown());
+  contradictions_.push_back("the disk of " + member.address + " is damaged: " + failure(kept).to_string());
   trace(contradictions_.back());
   member.disk.wipe();
   kept = member.disk.open(random_);
--- a/tests/system/disk_power_test.cpp
+++ b/tests/system/disk_power_test.cpp
@@ -75,9 +75,9 @@
     const auto shown_life = "life " + std::to_string(life) + ": ";
     {
       auto disk = Disk::open("/disk", env);
-      if (failed(disk)) return shown_life + failure(disk).shown();
+      if (failed(disk)) return shown_life + failure(disk).to_string();
       auto kept = value(disk)->read();
-      if (failed(kept)) return shown_life + failure(kept).shown();
+      if (failed(kept)) return shown_life + failure(kept).to_string();
       std::string why;
       const auto last = last_write_of(value(kept), why);
       if (!last) return shown_life + why;
@@ -141,7 +141,7 @@
   auto disk = Disk::open("/disk", files);
   auto kept = value(disk)->read();
   BOOST_TEST(value(disk)->is_damaged() == failed(kept));
-  return failed(kept) ? failure(kept).shown() : "read";
+  return failed(kept) ? failure(kept).to_string() : "read";
 }
 
 BOOST_AUTO_TEST_CASE(given_a_disk_that_lacks_a_write_or_a_change_when_it_is_read_then_it_says_so) {
@@ -252,7 +252,7 @@
   std::promise<ThreadOutcome> outcome;
   std::uint64_t done = 0;
   DiskThread thread(std::move(value(disk)), [&](const Failure& why) {
-    outcome.set_value({done, why.shown()});
+    outcome.set_value({done, why.to_string()});
   });
   FolderEntries earlier;
   const auto write = [&](std::uint64_t number) {
--- a/tests/system/link_test.cpp
+++ b/tests/system/link_test.cpp
@@ -54,7 +54,7 @@
       if (failed) return;
       link = std::make_shared<Link>(std::move(socket), "peer", limits);
       link->start([this](wire::Frame::Reader) { ++frames; },
-                  [this](const Failure& why) { closed = why.shown(); });
+                  [this](const Failure& why) { closed = why.to_string(); });
     });
     peer.socket.async_connect(acceptor.local_endpoint(), [](boost::system::error_code) {});
     run_until([this] { return link != nullptr; });
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -33,7 +33,7 @@
   BOOST_TEST(s.bootstrap);
   BOOST_TEST(s.bounds.drain_ms == 2500);
   BOOST_TEST(s.bounds.strict_revoke);
-  BOOST_TEST(s.contracts.contains("drain"));
+  BOOST_TEST(s.invariants.contains("drain"));
 }
 
 BOOST_AUTO_TEST_CASE(given_a_settings_file_with_mistakes_when_it_is_read_then_each_has_a_line) {
