--- a/src/system/disk/disk.hpp
+++ b/src/system/disk/disk.hpp
@@ -1,9 +1,11 @@
-// A store's memory on its disk, in LevelDB: `identity` (of the disk), `state` (a snapshot), `promised`, `accepted/PLACE`,
-// `log/PLACE`, `write/NUMBER` (of the last writes, empty). Writes that belong together are one batch. Calls wait for
-// the disk; DiskThread keeps them off the loop.
+// The durable state of a store's replica, in LevelDB. Keys: `identity` (of the disk), `state` (a snapshot),
+// `promised`, `accepted/SLOT`, `log/SLOT`, `zone/ADDRESS`, `destroyed/ADDRESS` and `write/NUMBER` (the most
+// recent writes, with empty values). Related changes are written as one batch. Calls block on I/O; DiskThread
+// keeps them off the event loop.
 //
-// Each batch is synced before the next one begins. So a loss of power can take the last one alone, of which nothing
-// was said yet; where any other is missing the disk is damaged, and read() says so: what it lacks may be a promise.
+// Each batch is synced before the next one starts, so a power loss can lose only the last batch, which has
+// not been acknowledged yet. If any other batch is missing the disk is damaged and read() fails, because a
+// lost batch may hold a promise that the replica has already given.
 #pragma once
 
 #include <condition_variable>
@@ -26,21 +28,23 @@
 
 namespace docklift {
 
+// A replica's database in one folder. Not thread-safe.
 class Disk {
  public:
-  // Opens, mends after a torn end, or sets aside (`*.damaged`) what can't be read and begins anew: its store
-  // then counts as one whose disk was lost. `env` is not owned and outlives the disk.
+  // Opens the database and repairs a torn tail. A database that stays unreadable is moved to `FOLDER.damaged`
+  // and replaced by an empty one; its store then counts as one that lost its disk. `env` is not owned and
+  // must outlive the disk.
   static Result<std::unique_ptr<Disk>> open(const std::string& folder, leveldb::Env& env = durable_env());
   ~Disk();
-  // Sets aside (`*.damaged`) what can't be read, and opens an empty one. Of the machine's files only.
+  // Moves the folder to `FOLDER.damaged` and opens an empty database. Always uses durable_env().
   static Result<std::unique_ptr<Disk>> recreate(const std::string& folder);
-  // A failure: the disk refused to be read, or it is_damaged().
+  // Fails on an I/O error or on damage; is_damaged() distinguishes the two.
   Result<agreement::DurableState> read();
-  // The last read() found a record that can't be understood, or writes missing among others. A disk that only refuses
-  // is not damaged: it may be read later.
+  // Whether the last read() found a corrupt record or a gap. I/O errors are not damage: a later read may
+  // succeed.
   bool is_damaged() const { return damaged_; }
   Result<std::monostate> write(const agreement::Write& w);
-  std::uint64_t last_write() const { return last_write_; }  // its number; 0: none
+  std::uint64_t last_write() const { return last_write_; }  // number of the last write; 0 if none
   const std::string& folder() const { return folder_; }
   leveldb::Env& env() const { return env_; }
 
@@ -52,39 +56,40 @@
   leveldb::Status open_database(bool strict);
   Result<std::monostate> find_last_write();
   Result<std::monostate> check_writes();
-  Failure unreadable(const leveldb::Status& status);
-  Failure damage(const std::string& what);
+  Failure read_failure(const leveldb::Status& status);
+  Failure damage_failure(const std::string& what);
   std::string folder_;
   leveldb::Env& env_;
-  std::unique_ptr<FailStopEnv> files_;  // of this opening, over `env_`
+  std::unique_ptr<FailStopEnv> fail_stop_env_;  // wraps `env_`; one per opening
   Database db_;
   std::uint64_t last_write_ = 0;
   bool damaged_ = false;
 };
 
-// Writes in order on a thread of its own. A write that fails is tried again until it succeeds: `done` is
-// called on that thread. LevelDB takes no write after one has failed, so that the disk is opened anew; where it then
-// lacks what had been written it is set aside, nothing more is written, and `lost` is called on that thread.
+// Executes writes in order on its own thread, which also calls `done` after each of them. A failed write is
+// retried until it succeeds. LevelDB rejects all writes after a failed one, so the disk is reopened before
+// the retry; if earlier writes are missing then, the disk is set aside, nothing more is written, and
+// `on_lost` is called on that thread.
 class DiskThread {
  public:
-  using Lost = std::function<void(const Failure& why)>;
-  DiskThread(std::unique_ptr<Disk> disk, Lost lost);
-  ~DiskThread();  // what is queued is dropped, what is being written ends
+  using OnLost = std::function<void(const Failure& why)>;
+  DiskThread(std::unique_ptr<Disk> disk, OnLost on_lost);
+  ~DiskThread();  // drops queued writes and waits for the write in progress
   void write(agreement::Write w, std::function<void()> done);
   std::size_t queued_writes() const;
 
  private:
   void run();
   bool write_until_done(const agreement::Write& w);
-  bool open_again();
+  bool reopen();
   bool set_aside(const Failure& why);
-  bool ends() const;
+  bool is_stopping() const;
   std::unique_ptr<Disk> disk_;
-  Lost lost_;
-  mutable std::mutex lock_;
-  std::condition_variable news_;
+  OnLost on_lost_;
+  mutable std::mutex mutex_;
+  std::condition_variable wake_up_;
   std::deque<std::pair<agreement::Write, std::function<void()>>> queue_;
-  bool ends_ = false;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- a/src/system/disk/durable_env.cpp
+++ b/src/system/disk/durable_env.cpp
@@ -31,15 +31,15 @@
 
 Status DurableEnv::NewWritableFile(const std::string& path, leveldb::WritableFile** file) {
   const auto status = target()->NewWritableFile(path, file);
-  return status.ok() ? with_durable_entry(path, file) : status;
+  return status.ok() ? sync_new_entry(path, file) : status;
 }
 
 Status DurableEnv::NewAppendableFile(const std::string& path, leveldb::WritableFile** file) {
   const auto status = target()->NewAppendableFile(path, file);
-  return status.ok() ? with_durable_entry(path, file) : status;
+  return status.ok() ? sync_new_entry(path, file) : status;
 }
 
-Status DurableEnv::with_durable_entry(const std::string& path, leveldb::WritableFile** file) {
+Status DurableEnv::sync_new_entry(const std::string& path, leveldb::WritableFile** file) {
   auto status = sync_folder_(folder_of(path));
   if (!status.ok()) delete std::exchange(*file, nullptr);
   return status;
@@ -56,7 +56,7 @@
 }
 
 leveldb::Env& durable_env() {
-  // Never destroyed: LevelDB's threads may still hold it when the process ends.
+  // Leaked on purpose: LevelDB's background threads may still use it while the process exits.
   static auto& env = *new DurableEnv(*leveldb::Env::Default(), sync_folder);
   return env;
 }
--- a/src/system/disk/durable_env.hpp
+++ b/src/system/disk/durable_env.hpp
@@ -1,7 +1,8 @@
-// LevelDB's files, with the syncs that LevelDB leaves out. Of a file that was made or renamed, the entry in its folder
-// is durable only once the folder has been synced. LevelDB relies on that order without a sync: on opening it renames
-// its pointer to the new manifest and removes the old logs; where the rename is lost and a removal is not, the old
-// manifest leads to logs that are gone and to the new one behind them. Source: docs/incidents/README.md, issue 48.
+// A LevelDB environment that adds the directory syncs which LevelDB omits. The directory entry of a created
+// or renamed file is durable only after an fsync of its folder. LevelDB assumes that order without syncing:
+// when it opens a database it renames the CURRENT file to point to the new manifest and then removes the old
+// logs. If a power loss reverts the rename but not a removal, the old manifest refers to logs that no longer
+// exist, and only the newer log is replayed after the gap. See docs/incidents/README.md, issue 48.
 #pragma once
 
 #include <leveldb/env.h>
@@ -11,28 +12,29 @@
 
 namespace docklift {
 
-// Makes durable which files a folder holds. Waits for the disk.
+// Syncs a folder, which makes its entries durable. Blocks on I/O.
 leveldb::Status sync_folder(const std::string& folder);
 
+// Syncs the containing folder after each operation that adds or renames an entry.
 class DurableEnv : public leveldb::EnvWrapper {
  public:
   using SyncFolder = std::function<leveldb::Status(const std::string& folder)>;
-  // `files` is not owned and outlives this.
-  DurableEnv(leveldb::Env& files, SyncFolder sync) : EnvWrapper(&files), sync_folder_(std::move(sync)) {}
+  // `target` is not owned and must outlive this object.
+  DurableEnv(leveldb::Env& target, SyncFolder sync) : EnvWrapper(&target), sync_folder_(std::move(sync)) {}
 
-  // Each returns once the entry is durable; a failed sync is a failure of the call.
+  // These return once the directory entry is durable, and fail if the sync fails.
   leveldb::Status NewWritableFile(const std::string& path, leveldb::WritableFile** file) override;
   leveldb::Status NewAppendableFile(const std::string& path, leveldb::WritableFile** file) override;
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
   leveldb::Status CreateDir(const std::string& folder) override;
 
  private:
-  // Closes a file whose entry can't be made durable.
-  leveldb::Status with_durable_entry(const std::string& path, leveldb::WritableFile** file);
+  // Syncs the folder of a file that was just opened; closes the file if that fails.
+  leveldb::Status sync_new_entry(const std::string& path, leveldb::WritableFile** file);
   SyncFolder sync_folder_;
 };
 
-// The machine's files; lives as long as the process.
+// The DurableEnv over the machine's file system; never destroyed.
 leveldb::Env& durable_env();
 
 }  // namespace docklift
--- a/src/system/disk/fail_stop_env.cpp
+++ b/src/system/disk/fail_stop_env.cpp
@@ -57,7 +57,7 @@
   std::unique_ptr<leveldb::WritableFile> file_;
 };
 
-// Opens a file and wraps it.
+// Runs `open`, which sets `*file`, and replaces the file by its fail-stop wrapper.
 template <class Wrapped, class File, class Open>
 Status open_wrapped(FailStopEnv& env, File** file, Open open) {
   auto status = env.run(open);
--- a/src/system/disk/fail_stop_env.hpp
+++ b/src/system/disk/fail_stop_env.hpp
@@ -1,7 +1,8 @@
-// Files that refuse everything once they have refused one thing. LevelDB passes over some failures when it opens a
-// damaged database: a log that can't be read, or not be copied into a table, is put away all the same, and a later
-// opening finds an older state without a gap. Where nothing can be put away after the first failure, all is still there
-// for the next try. Source: docs/incidents/README.md, issue 48.
+// A LevelDB environment that fails every operation after its first I/O error. LevelDB ignores some errors
+// while it opens or repairs a damaged database: it discards a log even if the log could not be read or
+// converted to a table, and a later opening finds an older state without a gap. Since nothing can be
+// discarded after the first error here, the next attempt still finds all files. See docs/incidents/README.md,
+// issue 48.
 #pragma once
 
 #include <leveldb/env.h>
@@ -12,12 +13,13 @@
 
 namespace docklift {
 
+// Wraps an environment and stops at its first I/O error; use a new one for each opening of a database.
 class FailStopEnv : public leveldb::EnvWrapper {
  public:
-  // `files` is not owned and outlives this.
-  explicit FailStopEnv(leveldb::Env& files) : EnvWrapper(&files) {}
+  // `target` is not owned and must outlive this object.
+  explicit FailStopEnv(leveldb::Env& target) : EnvWrapper(&target) {}
 
-  // Something was refused. That a file is not there is no refusal.
+  // Whether any operation has failed. A missing file (NotFound) doesn't count as a failure.
   bool has_failed() const { return failed_; }
 
   leveldb::Status NewSequentialFile(const std::string& path, leveldb::SequentialFile** file) override;
@@ -29,10 +31,10 @@
   leveldb::Status RemoveFile(const std::string& path) override;
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
 
-  // For the files that were opened: runs the operation unless one has failed.
+  // Runs the operation unless an earlier one has failed. Public for the wrappers of opened files.
   template <class Operation>
   leveldb::Status run(Operation operation) {
-    if (failed_) return leveldb::Status::IOError("an earlier operation of the disk failed");
+    if (failed_) return leveldb::Status::IOError("an earlier disk operation failed");
     leveldb::Status status = operation();
     if (!status.ok() && !status.IsNotFound()) failed_ = true;
     return status;
--- a/src/system/disk/record_cache.cpp
+++ b/src/system/disk/record_cache.cpp
@@ -27,10 +27,10 @@
 
 RecordCache::~RecordCache() {
   {
-    const std::lock_guard held(lock_);
-    ends_ = true;
+    const std::lock_guard guard(mutex_);
+    stopping_ = true;
   }
-  news_.notify_one();
+  wake_up_.notify_one();
   thread_.join();
 }
 
@@ -42,23 +42,23 @@
 
 void RecordCache::put(const std::string& name, std::string text) {
   {
-    const std::lock_guard held(lock_);
-    waiting_[name] = std::move(text);
+    const std::lock_guard guard(mutex_);
+    pending_[name] = std::move(text);
   }
-  news_.notify_one();
+  wake_up_.notify_one();
 }
 
 void RecordCache::run() {
-  std::unique_lock held(lock_);
+  std::unique_lock lock(mutex_);
   while (true) {
-    news_.wait(held, [this] { return ends_ || !waiting_.empty(); });
-    if (ends_) return;
-    const auto now = std::exchange(waiting_, {});
-    held.unlock();
+    wake_up_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
+    if (stopping_) return;
+    const auto writes = std::exchange(pending_, {});
+    lock.unlock();
     leveldb::WriteOptions durable;
     durable.sync = true;
-    for (const auto& [name, text] : now) db_->Put(durable, name, text);
-    held.lock();
+    for (const auto& [name, text] : writes) db_->Put(durable, name, text);
+    lock.lock();
   }
 }
 
