--- a/src/system/net/encoded_frame.hpp
+++ b/src/system/net/encoded_frame.hpp
@@ -1,5 +1,5 @@
-// A message as it goes over a link: four bytes that tell its length, lowest first, and its body. The highest bit of the
-// length says that the body is compressed (zstd, one frame that states its content's size). Lengths are in bytes.
+// The encoding of a message on a link: a four-byte little-endian length in bytes, followed by the body. The
+// highest bit of the length marks a compressed body (one zstd frame that declares its content size).
 #pragma once
 
 #include <capnp/message.h>
@@ -16,27 +16,29 @@
 
 inline constexpr std::size_t kFrameHeaderBytes = 4;
 
+// The length field of a frame.
 struct FrameHeader {
-  std::uint32_t bytes = 0;  // of the body
+  std::uint32_t bytes = 0;  // size of the body
   bool compressed = false;
 };
 FrameHeader read_frame_header(const unsigned char (&header)[kFrameHeaderBytes]);
 
-// Encoded once and shared by the links that it is sent on. Of one thread.
+// A message that is encoded once and shared by all links it is sent on. Not thread-safe.
 class EncodedFrame {
  public:
   explicit EncodedFrame(capnp::MessageBuilder& message);
   const std::string& plain() const { return plain_; }
-  // For a peer that reads compressed frames: the shorter of both. Compressed at the first call.
+  // The shorter of the plain and the compressed encoding, for peers that accept compressed frames. Compresses
+  // on first use.
   const std::string& shortest() const;
 
  private:
   std::string plain_;
-  mutable std::optional<std::string> compressed_;  // empty text: it is no shorter
+  mutable std::optional<std::string> compressed_;  // empty if it isn't shorter than `plain_`
 };
 using EncodedFramePtr = std::shared_ptr<const EncodedFrame>;
 
-// The words of a compressed body; none: it is none, or has more than `most_bytes` uncompressed.
-std::optional<std::vector<capnp::word>> decompress(std::string_view body, std::size_t most_bytes);
+// Decompresses a body. Returns none if it is invalid or larger than `max_bytes` uncompressed.
+std::optional<std::vector<capnp::word>> decompress(std::string_view body, std::size_t max_bytes);
 
 }  // namespace docklift
--- a/src/system/net/link.cpp
+++ b/src/system/net/link.cpp
@@ -12,14 +12,14 @@
 
 namespace docklift {
 namespace {
-constexpr std::size_t kPieceBytes = 32u << 10;  // 0.13 s at 2 Mbit/s
+constexpr std::size_t kReadChunkBytes = 32u << 10;  // 0.13 s at 2 Mbit/s
 }  // namespace
 namespace asio = boost::asio;
 using boost::system::error_code;
 
 Result<Tcp::endpoint> parse_endpoint(const std::string& text) {
   const auto at = snowknot::endpoint_of(text);
-  if (!at || at->port() == 0) return Failure{"read address", text, "not IP:PORT"};
+  if (!at || at->port() == 0) return Failure{"read address", text, "expected IP:PORT"};
   return *at;
 }
 
@@ -32,42 +32,43 @@
     : socket_(std::move(socket)), timer_(socket_.get_executor()), peer_(std::move(peer)), limits_(limits) {
   error_code ignored;
   socket_.set_option(Tcp::no_delay(true), ignored);
-  set_peer_timeout(socket_, limits_.silence);
+  set_peer_timeout(socket_, limits_.receive_timeout);
 }
 
 Link::~Link() = default;
 
 void Link::start(OnFrame on_frame, OnClosed on_closed) {
   on_frame_ = std::move(on_frame), on_closed_ = std::move(on_closed);
-  heard_ = said_ = std::chrono::steady_clock::now();
+  last_receive_ = last_send_ = std::chrono::steady_clock::now();
   read_header();
-  tick();
+  schedule_keepalive();
 }
 
 void Link::send(const EncodedFramePtr& frame) {
   if (!open_) return;
   const std::string_view bytes = compresses_ ? frame->shortest() : frame->plain();
-  if (queued_ + bytes.size() > limits_.queued_bytes) return fail("send", "the peer does not read");
-  queued_ += bytes.size();
-  out_.push_back({frame, bytes});
+  if (queued_bytes_ + bytes.size() > limits_.max_queued_bytes)
+    return fail("send", "the send queue is full: the peer does not read");
+  queued_bytes_ += bytes.size();
+  send_queue_.push_back({frame, bytes});
   if (writing_) return;
-  // What is said in one turn of the loop goes out together.
+  // Frames sent in the same iteration of the event loop are written together.
   writing_ = true;
   asio::post(socket_.get_executor(), [self = shared_from_this()] { self->write(); });
 }
 
 void Link::write() {
   if (!open_) return;
-  if (out_.empty()) return void(writing_ = false);
-  sending_.assign(std::make_move_iterator(out_.begin()), std::make_move_iterator(out_.end()));
-  out_.clear();
+  if (send_queue_.empty()) return void(writing_ = false);
+  sending_.assign(std::make_move_iterator(send_queue_.begin()), std::make_move_iterator(send_queue_.end()));
+  send_queue_.clear();
   std::vector<asio::const_buffer> buffers;
   buffers.reserve(sending_.size());
   for (const auto& queued : sending_) buffers.push_back(asio::buffer(queued.bytes));
   asio::async_write(socket_, buffers, [self = shared_from_this()](error_code failed, std::size_t sent) {
-    self->queued_ -= std::min(self->queued_, sent);
+    self->queued_bytes_ -= std::min(self->queued_bytes_, sent);
     if (failed) return self->fail("write", failed.message());
-    self->said_ = std::chrono::steady_clock::now();
+    self->last_send_ = std::chrono::steady_clock::now();
     self->write();
   });
 }
@@ -78,44 +79,45 @@
                      if (failed) return self->fail("read", failed.message());
                      const auto header = read_frame_header(self->header_);
                      const bool whole_words = header.compressed || header.bytes % sizeof(capnp::word) == 0;
-                     if (header.bytes == 0 || !whole_words || header.bytes > self->limits_.frame_bytes)
-                       return self->fail("read", "no length of a frame");
+                     if (header.bytes == 0 || !whole_words || header.bytes > self->limits_.max_frame_bytes)
+                       return self->fail("read", "invalid frame length");
                      self->read_body(header);
                    });
 }
 
 void Link::read_body(FrameHeader header) {
   if (!open_) return;
-  reads_compressed_ = header.compressed;
+  body_compressed_ = header.compressed;
   body_bytes_ = header.bytes;
   body_.resize((body_bytes_ + sizeof(capnp::word) - 1) / sizeof(capnp::word));
-  read_piece(0);
+  read_chunk(0);
 }
 
-// Each piece that arrives counts as heard: on a slow path a whole frame takes longer than `silence`.
-void Link::read_piece(std::size_t offset) {
-  const auto piece = std::min(kPieceBytes, body_bytes_ - offset);
+// Each chunk resets the receive timeout: on a slow path a whole frame can take longer than that.
+void Link::read_chunk(std::size_t offset) {
+  const auto chunk = std::min(kReadChunkBytes, body_bytes_ - offset);
   auto* const bytes = reinterpret_cast<unsigned char*>(body_.data());
-  asio::async_read(socket_, asio::buffer(bytes + offset, piece),
-                   [self = shared_from_this(), next = offset + piece](error_code failed, std::size_t) {
+  asio::async_read(socket_, asio::buffer(bytes + offset, chunk),
+                   [self = shared_from_this(), next = offset + chunk](error_code failed, std::size_t) {
                      if (failed) return self->fail("read", failed.message());
                      if (!self->open_) return;
-                     self->heard_ = std::chrono::steady_clock::now();
-                     if (next < self->body_bytes_) return self->read_piece(next);
-                     self->take_body();
+                     self->last_receive_ = std::chrono::steady_clock::now();
+                     if (next < self->body_bytes_) return self->read_chunk(next);
+                     self->decode_body();
                    });
 }
 
-void Link::take_body() {
-  if (reads_compressed_) {
-    auto words = decompress({reinterpret_cast<const char*>(body_.data()), body_bytes_}, limits_.frame_bytes);
-    if (!words) return fail("read", "no compressed frame");
+void Link::decode_body() {
+  if (body_compressed_) {
+    auto words = decompress({reinterpret_cast<const char*>(body_.data()), body_bytes_},
+                            limits_.max_frame_bytes);
+    if (!words) return fail("read", "invalid compressed frame");
     body_ = std::move(*words);
   }
-  take_frame();
+  dispatch_frame();
 }
 
-void Link::take_frame() {
+void Link::dispatch_frame() {
   try {
     capnp::ReaderOptions options;
     options.traversalLimitInWords = 64u << 20;
@@ -129,28 +131,28 @@
   if (open_) read_header();
 }
 
-void Link::tick() {
+void Link::schedule_keepalive() {
   if (!open_) return;
-  timer_.expires_after(limits_.alive / 2);
+  timer_.expires_after(limits_.keepalive_interval / 2);
   timer_.async_wait([self = shared_from_this()](error_code failed) {
     if (failed || !self->open_) return;
     const auto now = std::chrono::steady_clock::now();
-    if (now - self->heard_ > self->limits_.silence) return self->fail("read", "silence");
-    if (!self->writing_ && now - self->said_ >= self->limits_.alive) {
+    if (now - self->last_receive_ > self->limits_.receive_timeout) return self->fail("read", "silence");
+    if (!self->writing_ && now - self->last_send_ >= self->limits_.keepalive_interval) {
       capnp::MallocMessageBuilder message(8);
       message.initRoot<wire::Frame>().setAlive();
       self->send(message);
     }
-    self->tick();
+    self->schedule_keepalive();
   });
 }
 
 void Link::fail(const char* step, const std::string& what) {
   if (!open_) return;
   const auto self = shared_from_this();
-  const auto told = std::move(on_closed_);
+  const auto on_closed = std::move(on_closed_);
   close();
-  if (told) told(Failure{step, peer_, what});
+  if (on_closed) on_closed(Failure{step, peer_, what});
 }
 
 void Link::close() {
@@ -158,10 +160,10 @@
   error_code ignored;
   socket_.close(ignored);
   timer_.cancel();
-  // Freed later: a callback may be running now.
+  // Deferred, because one of these callbacks may be running now.
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
     self->on_frame_ = nullptr, self->on_closed_ = nullptr;
-    self->out_.clear();
+    self->send_queue_.clear();
   });
 }
 
@@ -180,47 +182,48 @@
 void Dialer::stop() {
   stopped_ = true;
   timer_.cancel();
-  if (pending_) {
+  if (connecting_socket_) {
     error_code ignored;
-    pending_->close(ignored);
+    connecting_socket_->close(ignored);
   }
-  // Link and dialer hold each other; where the loop has ended, nothing else lets go of them.
+  // Link and dialer reference each other; once the event loop has ended, nothing else breaks the cycle.
   if (const auto link = std::exchange(link_, nullptr)) link->close();
 }
 
 void Dialer::connect() {
   if (stopped_) return;
-  pending_ = std::make_shared<Socket>(io_.get_executor());
-  const auto socket = pending_;
-  timer_.expires_after(limits_.connect);
+  connecting_socket_ = std::make_shared<Socket>(io_.get_executor());
+  const auto socket = connecting_socket_;
+  timer_.expires_after(limits_.connect_timeout);
   timer_.async_wait([self = shared_from_this(), socket](error_code failed) {
     error_code ignored;
-    if (!failed && self->pending_ == socket) socket->close(ignored);
+    if (!failed && self->connecting_socket_ == socket) socket->close(ignored);
   });
   socket->async_connect(to_, [self = shared_from_this(), socket](error_code failed) {
     self->timer_.cancel();
-    self->pending_ = nullptr;
+    self->connecting_socket_ = nullptr;
     if (self->stopped_) return;
     if (failed) {
       self->on_closed_(Failure{"connect", self->to_.address().to_string(), failed.message()});
-      return self->again();
+      return self->schedule_reconnect();
     }
-    self->pause_ = {};
+    self->backoff_ = {};
     self->link_ = std::make_shared<Link>(std::move(*socket), self->to_.address().to_string(), self->limits_);
     const auto link = self->link_;
     link->start(self->on_frame_, [self](const Failure& why) {
       self->on_closed_(why);
-      self->again();
+      self->schedule_reconnect();
     });
     self->on_open_(link);
   });
 }
 
-void Dialer::again() {
+void Dialer::schedule_reconnect() {
   if (stopped_) return;
-  static std::minstd_rand chance(std::random_device{}());
-  pause_ = std::clamp<Duration>(pause_ * 2, std::chrono::milliseconds(50), std::chrono::milliseconds(300));
-  timer_.expires_after(pause_ * (50 + static_cast<int>(chance() % 51)) / 100);
+  static std::minstd_rand random(std::random_device{}());
+  backoff_ = std::clamp<Duration>(backoff_ * 2, std::chrono::milliseconds(50),
+                                  std::chrono::milliseconds(300));
+  timer_.expires_after(backoff_ * (50 + static_cast<int>(random() % 51)) / 100);
   timer_.async_wait([self = shared_from_this()](error_code failed) {
     if (!failed) self->connect();
   });
@@ -248,9 +251,9 @@
   acceptor_.async_accept([this](error_code failed, Socket socket) {
     if (failed == asio::error::operation_aborted) return;
     if (!failed) {
-      error_code unknown;
-      const auto peer = socket.remote_endpoint(unknown);
-      if (!unknown) {
+      error_code disconnected;
+      const auto peer = socket.remote_endpoint(disconnected);
+      if (!disconnected) {
         const auto link = std::make_shared<Link>(std::move(socket), peer.address().to_string(), limits_);
         std::erase_if(links_, [](const auto& weak) { return weak.expired(); });
         links_.push_back(link);
--- a/src/system/net/link.hpp
+++ b/src/system/net/link.hpp
@@ -1,7 +1,7 @@
-// A connection between two of the system's processes: frames of Cap'n Proto with a length ahead of each (4
-// bytes, little endian). A link says `alive` when it has nothing else to say, and ends when no byte has
-// arrived for `silence`. All calls and callbacks are on one io_context's thread. Callbacks are not called
-// after close().
+// Connections between the system's processes, which exchange length-prefixed Cap'n Proto messages (see
+// encoded_frame.hpp). An idle link sends `alive` frames as keepalives, and a link closes when nothing has
+// been received for `receive_timeout`. All calls and callbacks run on the thread of one io_context. No
+// callback runs after close().
 #pragma once
 
 #include <capnp/message.h>
@@ -30,18 +30,21 @@
     std::chrono::steady_clock, boost::asio::wait_traits<std::chrono::steady_clock>, snowknot::Executor>;
 using Acceptor = boost::asio::basic_socket_acceptor<Tcp, snowknot::Executor>;
 
-// ip:port as endpoint; a failure names the text.
+// Parses IP:PORT; the port must not be 0.
 Result<Tcp::endpoint> parse_endpoint(const std::string& text);
-// Drops what is sent to a peer that says nothing, so that a cut does not hang a connection.
+// Closes a connection whose sent data stays unacknowledged for `timeout`, so that a network partition doesn't
+// leave it hanging.
 void set_peer_timeout(Socket& socket, Duration timeout);
 
+// Timeouts and size limits of a link.
 struct LinkLimits {
-  Duration connect = std::chrono::milliseconds(1000);
-  Duration alive = std::chrono::milliseconds(500);     // how often it says something
-  Duration silence = std::chrono::milliseconds(2000);  // without a byte before it ends
-  std::size_t frame_bytes = 96u << 20, queued_bytes = 128u << 20;
+  Duration connect_timeout = std::chrono::milliseconds(1000);
+  Duration keepalive_interval = std::chrono::milliseconds(500);
+  Duration receive_timeout = std::chrono::milliseconds(2000);
+  std::size_t max_frame_bytes = 96u << 20, max_queued_bytes = 128u << 20;
 };
 
+// One established connection. A failure closes it and is reported once to `on_closed`.
 class Link : public std::enable_shared_from_this<Link> {
  public:
   using OnFrame = std::function<void(wire::Frame::Reader)>;
@@ -53,20 +56,20 @@
   void start(OnFrame on_frame, OnClosed on_closed);
   void send(capnp::MessageBuilder& message) { send(std::make_shared<EncodedFrame>(message)); }
   void send(const EncodedFramePtr& frame);
-  // The peer has said that it reads compressed frames: it is sent them from now on.
+  // Compresses frames from now on; call it once the peer has announced that it accepts compressed frames.
   void compress() { compresses_ = true; }
   void close();
   bool open() const { return open_; }
-  const std::string& peer() const { return peer_; }  // its ip
+  const std::string& peer() const { return peer_; }  // IP address
 
  private:
   void read_header();
   void read_body(FrameHeader header);
-  void read_piece(std::size_t offset);
-  void take_body();
-  void take_frame();
+  void read_chunk(std::size_t offset);
+  void decode_body();
+  void dispatch_frame();
   void write();
-  void tick();
+  void schedule_keepalive();
   void fail(const char* step, const std::string& what);
 
   Socket socket_;
@@ -76,22 +79,23 @@
   OnFrame on_frame_;
   OnClosed on_closed_;
   bool open_ = true, writing_ = false;
-  std::chrono::steady_clock::time_point heard_{}, said_{};
+  std::chrono::steady_clock::time_point last_receive_{}, last_send_{};
   unsigned char header_[kFrameHeaderBytes] = {};
   std::size_t body_bytes_ = 0;
   std::vector<capnp::word> body_;
-  struct Queued {
+  struct QueuedFrame {
     EncodedFramePtr frame;
-    std::string_view bytes;  // of the frame, as it is sent here
+    std::string_view bytes;  // the encoding of `frame` that is sent on this link
   };
-  std::deque<Queued> out_;
-  std::vector<Queued> sending_;
+  std::deque<QueuedFrame> send_queue_;
+  std::vector<QueuedFrame> sending_;
   bool compresses_ = false;
-  bool reads_compressed_ = false;  // the frame whose bytes are read now is compressed
-  std::size_t queued_ = 0;
+  bool body_compressed_ = false;  // of the frame that is being read
+  std::size_t queued_bytes_ = 0;
 };
 
-// Keeps one link to an address: connects again with growing pauses of 50 to 300 ms, by chance, until stopped.
+// Maintains one link to an address: reconnects with jittered exponential backoff (50 to 300 ms) until
+// stopped.
 class Dialer : public std::enable_shared_from_this<Dialer> {
  public:
   using OnOpen = std::function<void(const std::shared_ptr<Link>&)>;  // its start() has not been called
@@ -99,13 +103,13 @@
          OnOpen on_open, Link::OnClosed on_closed);
   void start();
   void stop();
-  const std::shared_ptr<Link>& link() const { return link_; }  // null or closed while there is none
+  const std::shared_ptr<Link>& link() const { return link_; }  // null or closed while disconnected
   bool is_connected() const { return link_ && link_->open(); }
   const Tcp::endpoint& to() const { return to_; }
 
  private:
   void connect();
-  void again();
+  void schedule_reconnect();
 
   boost::asio::io_context& io_;
   Tcp::endpoint to_;
@@ -114,19 +118,19 @@
   OnOpen on_open_;
   Link::OnClosed on_closed_;
   std::shared_ptr<Link> link_;
-  std::shared_ptr<Socket> pending_;
+  std::shared_ptr<Socket> connecting_socket_;
   Timer timer_;
-  Duration pause_{};
+  Duration backoff_{};
   bool stopped_ = false;
 };
 
-// Accepts links on an address. Throws boost::system::system_error where it can't listen.
+// Accepts links on an address. The constructor throws boost::system::system_error if it can't listen.
 class LinkListener {
  public:
   using OnLink = std::function<void(const std::shared_ptr<Link>&)>;  // its start() has not been called
   LinkListener(boost::asio::io_context& io, const Tcp::endpoint& at, LinkLimits limits, OnLink on_link);
   ~LinkListener();
-  void close();  // and the links that were accepted
+  void close();  // also closes the accepted links
 
  private:
   void accept();
--- a/tests/system/link_test.cpp
+++ b/tests/system/link_test.cpp
@@ -1,4 +1,4 @@
-// Links between the system's processes, on loopback sockets. What is waited for is an event, with a limit.
+// Tests links between processes over loopback sockets. Each wait is for an event, with a time limit.
 #include "system/net/link.hpp"
 
 #include <boost/asio/write.hpp>
@@ -14,37 +14,38 @@
 using namespace std::chrono_literals;
 namespace asio = boost::asio;
 
-// The bytes of one frame as a link sends them, its length ahead.
+// The plain encoding of one frame, including its length field.
 std::string frame_bytes(fleet::Outgoing&& out) { return EncodedFrame(out.message()).plain(); }
 
-// A raw peer of one link that sends a text in pieces, one each `pause`.
+// A raw TCP peer of a link that sends bytes in chunks, one every `pause`.
 struct PacedPeer {
   PacedPeer(asio::io_context& io, Duration between)
       : socket(io.get_executor()), timer(io.get_executor()), pause(between) {}
-  void send(std::string text, std::size_t pieces) {
-    rest = std::move(text);
-    piece = rest.size() / pieces + 1;
-    next();
+  void send(std::string bytes, std::size_t chunks) {
+    unsent = std::move(bytes);
+    chunk_bytes = unsent.size() / chunks + 1;
+    send_next();
   }
-  void next() {
-    if (rest.empty()) return;
+  void send_next() {
+    if (unsent.empty()) return;
     timer.expires_after(pause);
     timer.async_wait([this](boost::system::error_code failed) {
       if (failed) return;
-      sending = rest.substr(0, piece);
-      rest.erase(0, piece);
+      sending = unsent.substr(0, chunk_bytes);
+      unsent.erase(0, chunk_bytes);
       asio::async_write(socket, asio::buffer(sending), [this](boost::system::error_code e, std::size_t) {
-        if (!e) next();
+        if (!e) send_next();
       });
     });
   }
   Socket socket;
   Timer timer;
   Duration pause;
-  std::string rest, sending;
-  std::size_t piece = 0;
+  std::string unsent, sending;
+  std::size_t chunk_bytes = 0;
 };
 
+// An accepted link and the raw peer at its other end.
 struct LinkAndPeer {
   LinkAndPeer(LinkLimits limits, Duration pause) : peer(io, pause) {
     acceptor.open(Tcp::v4());
@@ -84,7 +85,7 @@
   return frame_bytes(std::move(out));
 }
 
-// Server records as a registry tells them: names repeat, ids and addresses differ.
+// Server records as a registry sends them: service and zone names repeat, ids and addresses differ.
 EncodedFrame server_list(unsigned servers) {
   fleet::Outgoing out;
   auto list = out.frame().initFleet().initServers(servers);
@@ -100,18 +101,19 @@
   return EncodedFrame(out.message());
 }
 
-std::string body_of(const std::string& frame) { return frame.substr(kFrameHeaderBytes); }
+std::string frame_body(const std::string& frame) { return frame.substr(kFrameHeaderBytes); }
 
 BOOST_AUTO_TEST_SUITE(link)
 
-BOOST_AUTO_TEST_CASE(given_a_list_of_800_servers_when_it_is_compressed_then_it_is_a_third_and_the_same) {
+BOOST_AUTO_TEST_CASE(
+    given_a_list_of_800_servers_when_it_is_compressed_then_it_shrinks_to_a_third_and_decodes_equal) {
   const auto frame = server_list(800);
   const auto& compressed = frame.shortest();
   BOOST_TEST(compressed.size() * 3 < frame.plain().size());
-  const auto words = decompress(body_of(compressed), 1u << 20);
+  const auto words = decompress(frame_body(compressed), 1u << 20);
   BOOST_REQUIRE(words.has_value());
   const std::string text(reinterpret_cast<const char*>(words->data()), words->size() * sizeof(capnp::word));
-  BOOST_TEST((text == body_of(frame.plain())));
+  BOOST_TEST((text == frame_body(frame.plain())));
 }
 
 BOOST_AUTO_TEST_CASE(given_a_short_frame_or_one_without_repeats_when_it_is_sent_then_it_is_not_compressed) {
@@ -130,8 +132,8 @@
   BOOST_TEST((random_frame.shortest() == random_frame.plain()));
 }
 
-BOOST_AUTO_TEST_CASE(given_a_compressed_body_that_is_cut_damaged_or_too_large_then_it_is_none) {
-  const auto body = body_of(server_list(100).shortest());
+BOOST_AUTO_TEST_CASE(given_a_compressed_body_that_is_truncated_invalid_or_too_large_then_it_is_rejected) {
+  const auto body = frame_body(server_list(100).shortest());
   BOOST_TEST(decompress(body, 1u << 20).has_value());
   for (std::size_t size = 0; size < body.size(); size += 7)
     BOOST_TEST(!decompress(body.substr(0, size), 1u << 20).has_value());
@@ -139,7 +141,8 @@
   BOOST_TEST(!decompress(std::string(200, 'x'), 1u << 20).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(given_a_peer_that_sends_compressed_frames_when_they_come_in_pieces_then_they_are_read) {
+BOOST_AUTO_TEST_CASE(
+    given_a_peer_that_sends_compressed_frames_when_they_arrive_in_chunks_then_they_are_read) {
   LinkAndPeer t(LinkLimits{}, 5ms);
   const auto frame = server_list(400);
   BOOST_TEST((frame.shortest() != frame.plain()));
@@ -149,29 +152,30 @@
   BOOST_TEST(t.closed.value_or("") == "");
 }
 
-BOOST_AUTO_TEST_CASE(given_a_damaged_compressed_frame_when_it_is_read_then_the_link_ends) {
+BOOST_AUTO_TEST_CASE(given_a_corrupt_compressed_frame_when_it_is_read_then_the_link_closes) {
   LinkAndPeer t(LinkLimits{}, 5ms);
   auto frame = server_list(400).shortest();
   for (std::size_t i = kFrameHeaderBytes; i < frame.size(); i += 3) frame[i] = 'x';
   t.peer.send(frame, 2);
   BOOST_TEST(t.run_until([&] { return t.closed.has_value(); }, 5s));
-  BOOST_TEST(t.closed.value_or("").find("no compressed frame") != std::string::npos);
+  BOOST_TEST(t.closed.value_or("").find("invalid compressed frame") != std::string::npos);
   BOOST_TEST(t.frames == 0);
 }
 
-BOOST_AUTO_TEST_CASE(given_a_frame_that_takes_longer_than_the_silence_when_its_bytes_arrive_then_it_is_read) {
+BOOST_AUTO_TEST_CASE(
+    given_a_frame_slower_than_the_receive_timeout_when_its_bytes_keep_arriving_then_it_is_read) {
   LinkLimits limits;
-  limits.silence = 600ms;
+  limits.receive_timeout = 600ms;
   LinkAndPeer t(limits, 100ms);
-  t.peer.send(large_frame(), 15);  // 1.5 s, two and a half times the silence
+  t.peer.send(large_frame(), 15);  // 1.5 s, 2.5 times the receive timeout
   BOOST_TEST(t.run_until([&] { return t.frames > 0 || t.closed; }));
   BOOST_TEST(t.frames == 1);
   BOOST_TEST(t.closed.value_or("") == "");
 }
 
-BOOST_AUTO_TEST_CASE(given_a_frame_that_stops_midway_when_the_silence_is_over_then_the_link_ends) {
+BOOST_AUTO_TEST_CASE(given_a_frame_that_stops_midway_when_the_receive_timeout_expires_then_the_link_closes) {
   LinkLimits limits;
-  limits.silence = 300ms;
+  limits.receive_timeout = 300ms;
   LinkAndPeer t(limits, 10ms);
   const auto whole = large_frame();
   t.peer.send(whole.substr(0, whole.size() / 2), 2);
