--- a/src/system/base/hash.hpp
+++ b/src/system/base/hash.hpp
@@ -1,4 +1,5 @@
-// A hash of a text that is the same in every process and release, for what members must agree on without a word.
+// A string hash that is the same in every process and release, for decisions that members make independently
+// and that must be identical.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 namespace docklift {
 
-// FNV-1a, mixed; `seed` tells apart what the text stands for.
+// FNV-1a with a final mixing step; use different seeds for strings of different kinds.
 inline std::uint64_t hash_of(std::string_view text, std::uint64_t seed = 0) {
   constexpr std::uint64_t kOffset = 0xcbf29ce484222325ULL;
   constexpr std::uint64_t kPrime = 0x100000001b3ULL;
--- a/src/system/base/lifetime.hpp
+++ b/src/system/base/lifetime.hpp
@@ -1,5 +1,6 @@
-// Ends with its owner: a callback that was bound to it does nothing once the owner is destroyed. For callbacks that an
-// event loop has already queued, which neither a cancelled timer nor a flag of the owner can stop.
+// Guards callbacks against use after the destruction of their owner. Meant for callbacks that an event loop
+// has already queued: canceling the timer no longer stops those, and they can't check a flag in an owner that
+// is gone.
 #pragma once
 
 #include <memory>
@@ -7,8 +8,9 @@
 
 namespace docklift {
 
-// A member of the object that its callbacks use. Neither copied nor moved: a callback belongs to one owner. Callbacks
-// may be copied on any thread, and are called on the owner's.
+// Declare it as a member of the object that the callbacks use. A bound callback does nothing once that object
+// is destroyed. Not copyable or movable, since a callback belongs to one owner. Callbacks may be copied on
+// any thread but must be called on the owner's thread.
 class Lifetime {
  public:
   Lifetime() = default;
--- a/src/system/base/log.cpp
+++ b/src/system/base/log.cpp
@@ -13,13 +13,14 @@
 void start_logs(std::string_view level) {
   const auto root = log4cxx::Logger::getRootLogger();
   const auto layout = std::make_shared<log4cxx::PatternLayout>(LOG4CXX_STR("%c: %m%n"));
-  const auto to = std::make_shared<log4cxx::ConsoleAppender>(layout, LOG4CXX_STR("System.err"));
+  const auto appender = std::make_shared<log4cxx::ConsoleAppender>(layout, LOG4CXX_STR("System.err"));
   root->removeAllAppenders();
-  root->addAppender(to);
+  root->addAppender(appender);
   root->setLevel(log4cxx::Level::toLevel(std::string(level)));
 }
 
-Log::Log(const std::string& part) : sink_(std::make_unique<Sink>(Sink{log4cxx::Logger::getLogger(part)})) {}
+Log::Log(const std::string& component)
+    : sink_(std::make_unique<Sink>(Sink{log4cxx::Logger::getLogger(component)})) {}
 Log::~Log() = default;
 Log::Log(Log&&) noexcept = default;
 void Log::debug(std::string_view text) const { LOG4CXX_DEBUG(sink_->logger, std::string(text)); }
--- a/src/system/base/log.hpp
+++ b/src/system/base/log.hpp
@@ -1,6 +1,5 @@
-// Logs of the system: short sentences on standard error with a fixed prefix for each part. One Log for each
-// part, made where the part is made; log4cxx behind it. Writing costs processor time: nothing is logged for
-// each request.
+// Logging to standard error through log4cxx, with the component's name as the prefix of each line. Each
+// component owns one Log. Logging is too expensive for a line per request.
 #pragma once
 
 #include <memory>
@@ -9,12 +8,14 @@
 
 namespace docklift {
 
-// Once for each process, ahead of the first Log. `level`: "debug", "info", "warn" or "error".
+// Configures logging; call it once per process, before the first Log is created. `level`: "debug", "info",
+// "warn" or "error".
 void start_logs(std::string_view level);
 
+// The logger of one component.
 class Log {
  public:
-  explicit Log(const std::string& part);
+  explicit Log(const std::string& component);
   ~Log();
   Log(Log&&) noexcept;
   void debug(std::string_view text) const;
--- a/src/system/base/result.hpp
+++ b/src/system/base/result.hpp
@@ -1,5 +1,5 @@
-// What a step of the system gives back: a value, or a failure that names its step and the peer at which it
-// arose. Pure; nothing here throws but std::bad_alloc.
+// The result of an operation: a value, or a failure that names the operation and where it failed. Nothing
+// here throws except std::bad_alloc.
 #pragma once
 
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace docklift {
 
+// Why an operation failed, for logs.
 struct Failure {
-  std::string step;  // what was being done: "connect", "read settings"
-  std::string peer;  // where: an address, a file, a field; empty: here
-  std::string what;  // why, in a short sentence
+  std::string step;  // the operation, such as "connect" or "read settings"
+  std::string peer;  // the address, file or field concerned; empty if none
+  std::string what;  // the cause, in a few words
   std::string to_string() const { return step + (peer.empty() ? "" : " at " + peer) + ": " + what; }
 };
 
--- a/src/system/base/send_times.hpp
+++ b/src/system/base/send_times.hpp
@@ -1,5 +1,6 @@
-// When each of the last requests of one kind was sent, by the asker's own clock. An answer counts from that
-// moment, whatever time it took and wherever it waited. Pure.
+// The send times of recent requests of one kind, by the requester's clock. The validity of a response is
+// counted from the time its request was sent, however long it was delayed or queued on the way. No I/O and no
+// clock of its own.
 #pragma once
 
 #include <cstddef>
@@ -11,12 +12,13 @@
 
 namespace docklift {
 
+// Numbers the requests and records when each was sent.
 class SendTimes {
  public:
-  // Remembers at most `limit` requests; an answer to an older one is an answer to an unknown one.
+  // Keeps at most `limit` requests; responses to older ones are treated as responses to unknown requests.
   explicit SendTimes(std::size_t limit) : limit_(limit) {}
 
-  // A number for a request that is sent now.
+  // Records a request that is sent now and returns its number.
   std::uint64_t sent(Time now) {
     if (times_.size() == limit_) {
       times_.pop_front();
@@ -25,7 +27,7 @@
     times_.push_back(now);
     return first_ + times_.size() - 1;
   }
-  // When the request with that number was sent; none: it is not known, or no longer.
+  // When request `number` was sent; none if it is unknown or no longer recorded.
   std::optional<Time> of(std::uint64_t number) const {
     if (number < first_ || number - first_ >= times_.size()) return std::nullopt;
     return times_[number - first_];
--- a/src/system/base/settings.cpp
+++ b/src/system/base/settings.cpp
@@ -13,51 +13,52 @@
 
 using Tree = boost::property_tree::ptree;
 
-std::vector<std::string> parts(const std::string& list) {
+std::vector<std::string> split_list(const std::string& list) {
   std::vector<std::string> out;
   std::istringstream in(list);
-  for (std::string one; std::getline(in, one, ',');)
-    if (!one.empty()) out.push_back(one);
+  for (std::string item; std::getline(in, item, ',');)
+    if (!item.empty()) out.push_back(item);
   return out;
 }
 
+// Reads typed values of a file and collects the errors, one line each.
 class Reader {
  public:
   explicit Reader(const Tree& tree) : tree_(tree) {}
 
   template <class T>
-  void take(const char* key, T& into, bool needed = false) {
+  void read(const char* key, T& out, bool required = false) {
     const auto found = tree_.find(key);
     if (found == tree_.not_found()) {
-      if (needed) mistakes_ += std::string(mistakes_.empty() ? "" : "\n") + key + " is missing";
+      if (required) errors_ += std::string(errors_.empty() ? "" : "\n") + key + " is missing";
       return;
     }
     const auto& text = found->second.data();
     if constexpr (std::is_same_v<T, std::string>) {
-      into = text;
+      out = text;
     } else if constexpr (std::is_same_v<T, bool>) {
-      if (text != "true" && text != "false") return wrong(key, text, "true or false");
-      into = text == "true";
+      if (text != "true" && text != "false") return add_error(key, text, "true or false");
+      out = text == "true";
     } else {
-      const auto read = found->second.get_value_optional<T>();
-      if (!read || (!text.empty() && text.front() == '-')) return wrong(key, text, "a number");
-      into = *read;
+      const auto parsed = found->second.get_value_optional<T>();
+      if (!parsed || (!text.empty() && text.front() == '-')) return add_error(key, text, "a number");
+      out = *parsed;
     }
   }
-  void wrong(const std::string& key, const std::string& text, const std::string& wanted) {
-    mistakes_ += (mistakes_.empty() ? "" : "\n") + key + " is " + text + ", not " + wanted;
+  void add_error(const std::string& key, const std::string& text, const std::string& expected) {
+    errors_ += (errors_.empty() ? "" : "\n") + key + " is " + text + ", not " + expected;
   }
-  const std::string& mistakes() const { return mistakes_; }
+  const std::string& errors() const { return errors_; }
 
  private:
   const Tree& tree_;
-  std::string mistakes_;
+  std::string errors_;
 };
 
 }  // namespace
 
-std::string SystemSettings::region_of(const std::string& a_zone) const {
-  const auto it = zones.find(a_zone);
+std::string SystemSettings::region_of(const std::string& zone_name) const {
+  const auto it = zones.find(zone_name);
   return it == zones.end() ? std::string() : it->second;
 }
 
@@ -68,8 +69,8 @@
 }
 
 std::string settings_path() {
-  const char* named = std::getenv("DOCKLIFT_SETTINGS");
-  return named && *named ? named : "/etc/docklift/settings.conf";
+  const char* path = std::getenv("DOCKLIFT_SETTINGS");
+  return path && *path ? path : "/etc/docklift/settings.conf";
 }
 
 Result<SystemSettings> parse_settings(const std::string& text, const std::string& name) {
@@ -82,32 +83,32 @@
   }
   SystemSettings s;
   Reader r(tree);
-  r.take("hostname", s.hostname, true), r.take("role", s.role), r.take("mclass", s.machine_class);
-  r.take("bind_ip", s.bind_ip, true), r.take("az", s.zone, true), r.take("rgn", s.region);
-  r.take("datadir", s.data_dir), r.take("bootstrap", s.bootstrap), r.take("voting", s.voting);
-  r.take("limits.cpu", s.cpu), r.take("limits.mem_mb", s.memory_mb), r.take("limits.nofile", s.descriptors);
-  r.take("hb_ms", s.heartbeat_ms), r.take("tolerance.nodes", s.tolerated_node_failures);
-  r.take("tolerance.azs", s.tolerated_zone_failures), r.take("tolerance.rgns", s.tolerated_region_failures);
+  r.read("hostname", s.hostname, true), r.read("role", s.role), r.read("mclass", s.machine_class);
+  r.read("bind_ip", s.bind_ip, true), r.read("az", s.zone, true), r.read("rgn", s.region);
+  r.read("datadir", s.data_dir), r.read("bootstrap", s.bootstrap), r.read("voting", s.voting);
+  r.read("limits.cpu", s.cpu), r.read("limits.mem_mb", s.memory_mb), r.read("limits.nofile", s.descriptors);
+  r.read("hb_ms", s.heartbeat_ms), r.read("tolerance.nodes", s.tolerated_node_failures);
+  r.read("tolerance.azs", s.tolerated_zone_failures), r.read("tolerance.rgns", s.tolerated_region_failures);
   auto& b = s.bounds;
-  r.take("bounds.seed_lag_s", b.seed_lag_s), r.take("bounds.reuse_s", b.reuse_s);
-  r.take("bounds.sync_s", b.sync_s), r.take("bounds.grace_s", b.grace_s);
-  r.take("bounds.retry_win_s", b.retry_win_s), r.take("bounds.quota_win_s", b.quota_win_s);
-  r.take("bounds.recover_s", b.recover_s), r.take("bounds.contact_ms", b.contact_ms);
-  r.take("bounds.ack_ms", b.ack_ms), r.take("bounds.drain_ms", b.drain_ms);
-  r.take("bounds.lost_slack_ms", b.lost_slack_ms), r.take("bounds.apply_ms", b.apply_ms);
-  r.take("bounds.downgrade_ms", b.downgrade_ms), r.take("bounds.skew_ms", b.skew_ms);
-  r.take("bounds.revoke_ms", b.revoke_ms), r.take("bounds.evac_ms", b.evac_ms);
-  r.take("bounds.retry_ratio", b.retry_ratio), r.take("bounds.retry_extra", b.retry_extra);
-  r.take("bounds.quota_excess", b.quota_excess), r.take("bounds.quota_slack", b.quota_slack);
-  r.take("bounds.cold_excess", b.cold_excess), r.take("bounds.cold_slack", b.cold_slack);
-  r.take("bounds.ttl_max_s", b.ttl_max_s), r.take("bounds.strict_revoke", b.strict_revoke);
+  r.read("bounds.seed_lag_s", b.seed_lag_s), r.read("bounds.reuse_s", b.reuse_s);
+  r.read("bounds.sync_s", b.sync_s), r.read("bounds.grace_s", b.grace_s);
+  r.read("bounds.retry_win_s", b.retry_win_s), r.read("bounds.quota_win_s", b.quota_win_s);
+  r.read("bounds.recover_s", b.recover_s), r.read("bounds.contact_ms", b.contact_ms);
+  r.read("bounds.ack_ms", b.ack_ms), r.read("bounds.drain_ms", b.drain_ms);
+  r.read("bounds.lost_slack_ms", b.lost_slack_ms), r.read("bounds.apply_ms", b.apply_ms);
+  r.read("bounds.downgrade_ms", b.downgrade_ms), r.read("bounds.skew_ms", b.skew_ms);
+  r.read("bounds.revoke_ms", b.revoke_ms), r.read("bounds.evac_ms", b.evac_ms);
+  r.read("bounds.retry_ratio", b.retry_ratio), r.read("bounds.retry_extra", b.retry_extra);
+  r.read("bounds.quota_excess", b.quota_excess), r.read("bounds.quota_slack", b.quota_slack);
+  r.read("bounds.cold_excess", b.cold_excess), r.read("bounds.cold_slack", b.cold_slack);
+  r.read("bounds.ttl_max_s", b.ttl_max_s), r.read("bounds.strict_revoke", b.strict_revoke);
   std::string ports;
   std::string seeds;
   std::string invariants;
-  r.take("port_range", ports, true), r.take("seeds", seeds, true), r.take("invariants", invariants);
-  s.seeds = parts(seeds);
-  for (auto& c : parts(invariants)) s.invariants.insert(c);
-  const auto range = parts(ports);
+  r.read("port_range", ports, true), r.read("seeds", seeds, true), r.read("invariants", invariants);
+  s.seeds = split_list(seeds);
+  for (auto& invariant : split_list(invariants)) s.invariants.insert(invariant);
+  const auto range = split_list(ports);
   try {
     if (range.size() != 2) throw std::invalid_argument(ports);
     const auto first = std::stoul(range[0]);
@@ -115,20 +116,20 @@
     if (first == 0 || first + kProxyPort > last || last > 65535) throw std::invalid_argument(ports);
     s.first_port = static_cast<std::uint16_t>(first), s.last_port = static_cast<std::uint16_t>(last);
   } catch (const std::exception&) {
-    r.wrong("port_range", ports, "two ports with three between them");
+    r.add_error("port_range", ports, "FIRST,LAST with at least three ports");
   }
   for (const auto& [key, node] : tree) {
     if (key.starts_with("azs.")) s.zones[key.substr(4)] = node.data();
     if (key.starts_with("listen.")) s.listen[key.substr(7)] = node.data();
   }
   if (s.region.empty()) s.region = s.region_of(s.zone);
-  if (!r.mistakes().empty()) return Failure{"read settings", name, r.mistakes()};
+  if (!r.errors().empty()) return Failure{"read settings", name, r.errors()};
   return s;
 }
 
 Result<SystemSettings> read_settings(const std::string& path) {
   std::ifstream in(path);
-  if (!in) return Failure{"read settings", path, "the file can't be opened"};
+  if (!in) return Failure{"read settings", path, "cannot open the file"};
   std::ostringstream text;
   text << in.rdbuf();
   return parse_settings(text.str(), path);
--- a/src/system/base/settings.hpp
+++ b/src/system/base/settings.hpp
@@ -1,5 +1,6 @@
-// A process's settings file: lines of a.b=value, lists joined by commas; fields that are not known are passed
-// over. Source: the operators' page on deployment. All mistakes of a file are told together.
+// The settings file of a process: lines of the form a.b=value, with comma-separated lists. Unknown keys are
+// ignored. All errors of a file are reported together. The format is defined by the operators' deployment
+// page.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,8 @@
 
 namespace docklift {
 
-struct Bounds {  // seconds and milliseconds as named; the values stand in when a field is missing
+// The `bounds.*` settings with their defaults; the suffixes _s and _ms name the unit.
+struct Bounds {
   double seed_lag_s = 3, reuse_s = 2, sync_s = 4, grace_s = 6, retry_win_s = 10, quota_win_s = 5,
          recover_s = 15;
   double contact_ms = 5000, ack_ms = 8000, drain_ms = 2500, lost_slack_ms = 200, apply_ms = 2500;
@@ -22,12 +24,13 @@
   bool strict_revoke = false;
 };
 
+// All settings of a process.
 struct SystemSettings {
   std::string hostname, role, machine_class, bind_ip, zone, region, data_dir;
   std::map<std::string, std::string> zones;   // zone -> region
-  std::map<std::string, std::string> listen;  // "http", "readyz", "ctl", "dir" -> ip:port
+  std::map<std::string, std::string> listen;  // "http", "readyz", "ctl", "dir" -> IP:PORT
   std::uint16_t first_port = 0, last_port = 0;
-  std::vector<std::string> seeds;  // ip:port of ctl
+  std::vector<std::string> seeds;  // IP:PORT of the ctl endpoint of each seed
   bool bootstrap = false, voting = false;
   std::uint64_t memory_mb = 256, descriptors = 1024;
   double cpu = 1;
@@ -36,17 +39,19 @@
   std::uint32_t tolerated_node_failures = 1, tolerated_zone_failures = 0, tolerated_region_failures = 0;
   Bounds bounds;
 
-  // The region of a zone; empty if the zone is not known.
-  std::string region_of(const std::string& a_zone) const;
-  std::vector<std::string> seed_ips() const;  // sorted, each once
+  // The region of a zone; empty if the zone is unknown.
+  std::string region_of(const std::string& zone_name) const;
+  std::vector<std::string> seed_ips() const;  // sorted, without duplicates
 };
 
-// Ports between the system's own processes, the same on every machine: offsets from the first of the range.
+// Ports for connections between the system's processes, as offsets from `first_port`; the same on every
+// machine.
 inline constexpr std::uint16_t kStorePort = 0, kRegistryPort = 1, kProxyPort = 2;
 
 Result<SystemSettings> read_settings(const std::string& path);
+// `name` is the file's name in errors.
 Result<SystemSettings> parse_settings(const std::string& text, const std::string& name);
-// The path from $DOCKLIFT_SETTINGS, or the usual one.
+// The path from $DOCKLIFT_SETTINGS, or the default path.
 std::string settings_path();
 
 }  // namespace docklift
--- a/src/system/base/time.hpp
+++ b/src/system/base/time.hpp
@@ -1,6 +1,6 @@
-// Time of the system's pure parts: the node's own steady clock, handed in with each event; types and
-// arithmetic are the edge node's. Nothing compares times of two machines: what crosses a link is an age or
-// what is left.
+// Time types for logic without I/O, shared with the edge node. Times are those of the local steady clock and
+// are passed in with each event. Times of two machines are never compared: messages carry ages or remaining
+// durations.
 #pragma once
 
 #include <chrono>
@@ -17,6 +17,7 @@
 using snowknot::seconds;
 using snowknot::Time;
 
+// Clamped to the range of the result.
 inline std::uint32_t millis(Duration d) {
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
   return ms < 0 ? 0 : ms > 0xffffffffLL ? 0xffffffffU : static_cast<std::uint32_t>(ms);
