--- a/tests/system/disk_power_test.cpp
+++ b/tests/system/disk_power_test.cpp
@@ -1,4 +1,4 @@
-// A store's disk over files that lose their power at any operation of LevelDB's.
+// Tests a store's disk on a simulated file system that can lose power at any of LevelDB's file operations.
 #include <leveldb/db.h>
 
 #include <atomic>
@@ -16,77 +16,79 @@
 using configuration::ChangeKind;
 
 constexpr std::uint64_t kSeeds = 60;
-constexpr int kLives = 8;
-constexpr std::uint64_t kOperations = 160;  // of the files in a life, at most
-constexpr std::uint64_t kWrites = 40;       // of the store in a life
-constexpr std::uint64_t kWritesASnapshot = 10;
-constexpr std::size_t kSmall = 100,
-                      kLarge = 300'000;  // bytes of a change; a few large ones begin a new log file
+constexpr int kPowerCycles = 8;
+constexpr std::uint64_t kMaxFileOperations = 160;  // until the power loss of a cycle
+constexpr std::uint64_t kWritesPerCycle = 40;
+constexpr std::uint64_t kWritesPerSnapshot = 10;
+constexpr std::size_t kSmallChangeBytes = 100,
+                      kLargeChangeBytes = 300'000;  // a few of these make LevelDB start a new log file
 
-std::string text_of(std::uint64_t number, std::mt19937_64& random) {
-  const std::size_t size = random() % 8 == 0 ? kLarge : kSmall;
+std::string change_text(std::uint64_t number, std::mt19937_64& random) {
+  const std::size_t size = random() % 8 == 0 ? kLargeChangeBytes : kSmallChangeBytes;
   return std::to_string(number) + std::string(size, 'x');
 }
 
-// The n-th write of a store that accepts and decides one change after another.
-Write write_of(std::uint64_t number, std::mt19937_64& random) {
+// Write `number` of a replica that accepts and commits one change after another.
+Write make_write(std::uint64_t number, std::mt19937_64& random) {
   Write write;
   write.durable = true;
   write.promised = agreement::Ballot{number, "10.0.0.1", 1};
   if (number == 1) write.disk = 77;
-  if (number % kWritesASnapshot == 1) {
+  if (number % kWritesPerSnapshot == 1) {
     write.state.emplace();
     write.state->position = number;
     write.state->voters = {{"10.0.0.1", 77}};
     write.trim_log_through = number;
   } else {
-    write.log.push_back({number, {ChangeKind::nothing, text_of(number, random), "10.0.0.1", number}});
+    write.log.push_back({number, {ChangeKind::nothing, change_text(number, random), "10.0.0.1", number}});
   }
   return write;
 }
 
-// The last write that the disk holds, with all before it; none, with a reason, where something is missing.
-std::optional<std::uint64_t> last_write_of(const DurableState& kept, std::string& why) {
-  const auto last = kept.promised.round;
-  std::uint64_t position = kept.state.position;
-  for (const auto& entry : kept.log) {
+// The number of the last write if it and all earlier ones are on the disk; otherwise none, and the reason in
+// `why`.
+std::optional<std::uint64_t> last_complete_write(const DurableState& stored, std::string& why) {
+  const auto last = stored.promised.round;
+  std::uint64_t position = stored.state.position;
+  for (const auto& entry : stored.log) {
     if (entry.slot <= position) continue;
     if (entry.slot != position + 1) {
       why = "the state ends at " + std::to_string(position) + " and change " + std::to_string(entry.slot) +
-            " lies after it";
+            " follows it";
       return std::nullopt;
     }
     position = entry.slot;
   }
-  if (position == last && (last == 0 || kept.disk == 77)) return last;
-  why = "the state ends at " + std::to_string(position) + ", the last promise is " + std::to_string(last);
+  if (position == last && (last == 0 || stored.disk == 77)) return last;
+  why = "the state ends at " + std::to_string(position) + ", the last promise is in write " +
+        std::to_string(last);
   return std::nullopt;
 }
 
-// Losses of power one after another; none, or what was lost.
-std::optional<std::string> lost_in_play(std::uint64_t seed, SimulatedFiles& files, leveldb::Env& env) {
+// Runs a sequence of power losses and restarts. Returns what was lost; none if nothing was.
+std::optional<std::string> find_loss(std::uint64_t seed, SimulatedFiles& files, leveldb::Env& env) {
   std::mt19937_64 random(seed);
   std::atomic<std::uint64_t> acknowledged = 0;
   std::uint64_t acknowledged_at_loss = 0;
   const auto at_loss = [&] { acknowledged_at_loss = acknowledged; };
-  for (int life = 0; life < kLives; ++life) {
-    acknowledged = acknowledged_at_loss;  // what was done after the loss never was
-    files.lose_power_at(1 + random() % kOperations, random(), at_loss);
-    const auto shown_life = "life " + std::to_string(life) + ": ";
+  for (int cycle = 0; cycle < kPowerCycles; ++cycle) {
+    acknowledged = acknowledged_at_loss;  // writes after the power loss don't count
+    files.lose_power_at(1 + random() % kMaxFileOperations, random(), at_loss);
+    const auto prefix = "cycle " + std::to_string(cycle) + ": ";
     {
       auto disk = Disk::open("/disk", env);
-      if (failed(disk)) return shown_life + failure(disk).to_string();
-      auto kept = value(disk)->read();
-      if (failed(kept)) return shown_life + failure(kept).to_string();
+      if (failed(disk)) return prefix + failure(disk).to_string();
+      auto stored = value(disk)->read();
+      if (failed(stored)) return prefix + failure(stored).to_string();
       std::string why;
-      const auto last = last_write_of(value(kept), why);
-      if (!last) return shown_life + why;
+      const auto last = last_complete_write(value(stored), why);
+      if (!last) return prefix + why;
       if (*last < acknowledged_at_loss)
-        return shown_life + "write " + std::to_string(acknowledged_at_loss) +
+        return prefix + "write " + std::to_string(acknowledged_at_loss) +
                " was acknowledged, the disk ends at " + std::to_string(*last);
       acknowledged = *last;
-      for (std::uint64_t i = 1; i <= kWrites && !files.power_lost(); ++i) {
-        if (failed(value(disk)->write(write_of(*last + i, random)))) return shown_life + "a write failed";
+      for (std::uint64_t i = 1; i <= kWritesPerCycle && !files.power_lost(); ++i) {
+        if (failed(value(disk)->write(make_write(*last + i, random)))) return prefix + "a write failed";
         acknowledged = *last + i;
       }
       if (!files.power_lost()) acknowledged_at_loss = acknowledged;
@@ -98,35 +100,36 @@
 
 BOOST_AUTO_TEST_SUITE(disk_power)
 
-BOOST_AUTO_TEST_CASE(
-    given_a_disk_when_power_is_lost_at_any_operation_then_all_that_was_acknowledged_is_there) {
+BOOST_AUTO_TEST_CASE(given_a_disk_when_power_is_lost_at_any_operation_then_no_acknowledged_write_is_lost) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimulatedFiles files;
     DurableEnv env(files, [&](const std::string& folder) { return files.sync_folder(folder); });
-    const auto lost = lost_in_play(seed, files, env);
+    const auto lost = find_loss(seed, files, env);
     BOOST_TEST(!lost.has_value(), "seed " << seed << ": " << lost.value_or(""));
   }
 }
 
-// The same plays on LevelDB's files as they are must find what that loses.
-BOOST_AUTO_TEST_CASE(given_folders_that_are_not_synced_when_power_is_lost_then_the_plays_find_it) {
+// Checks that the test above can fail: without the folder syncs of DurableEnv the same runs must detect lost
+// writes.
+BOOST_AUTO_TEST_CASE(given_folders_that_are_not_synced_when_power_is_lost_then_the_loss_is_detected) {
   std::uint64_t found = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimulatedFiles files;
-    found += lost_in_play(seed, files, files).has_value();
+    found += find_loss(seed, files, files).has_value();
   }
   BOOST_TEST(found > kSeeds / 3);
 }
 
-// A disk that lacks one key of many, as after a fault of the machine or of LevelDB.
+// Deletes one key directly in the database, as a hardware fault or a LevelDB defect would, and returns the
+// error of the next read; "read" if it succeeds.
 std::string read_without(const std::string& kind, std::uint64_t number) {
   SimulatedFiles files;
   std::mt19937_64 random(1);
-  constexpr std::uint64_t kHeld = 9;
+  constexpr std::uint64_t kWritten = 9;
   {
     auto disk = Disk::open("/disk", files);
-    for (std::uint64_t i = 1; i <= kHeld; ++i)
-      BOOST_REQUIRE(!failed(value(disk)->write(write_of(i, random))));
+    for (std::uint64_t i = 1; i <= kWritten; ++i)
+      BOOST_REQUIRE(!failed(value(disk)->write(make_write(i, random))));
   }
   {
     leveldb::Options options;
@@ -139,64 +142,66 @@
     BOOST_REQUIRE(owned->Delete({}, key).ok());
   }
   auto disk = Disk::open("/disk", files);
-  auto kept = value(disk)->read();
-  BOOST_TEST(value(disk)->is_damaged() == failed(kept));
-  return failed(kept) ? failure(kept).to_string() : "read";
+  auto stored = value(disk)->read();
+  BOOST_TEST(value(disk)->is_damaged() == failed(stored));
+  return failed(stored) ? failure(stored).to_string() : "read";
 }
 
-BOOST_AUTO_TEST_CASE(given_a_disk_that_lacks_a_write_or_a_change_when_it_is_read_then_it_says_so) {
+BOOST_AUTO_TEST_CASE(given_a_disk_that_lacks_a_write_or_a_change_when_it_is_read_then_it_reports_the_gap) {
   BOOST_TEST(read_without("write/", 5).ends_with("write 5 is missing"));
   BOOST_TEST(read_without("log/", 4).ends_with("change 4 is missing"));
   BOOST_TEST(read_without("write/", 40) == "read");
 }
 
-// One that only refuses is to be read later; it must not be set aside.
-BOOST_AUTO_TEST_CASE(given_a_disk_that_refuses_to_be_read_when_it_is_opened_then_it_is_not_called_damaged) {
+// An I/O error may be transient, so the disk must not be set aside because of it.
+BOOST_AUTO_TEST_CASE(given_a_disk_with_read_errors_when_it_is_opened_then_it_is_not_considered_damaged) {
   SimulatedFiles files;
   std::mt19937_64 random(1);
-  constexpr std::uint64_t kHeld = 3;
+  constexpr std::uint64_t kWritten = 3;
   {
     auto disk = Disk::open("/disk", files);
-    for (std::uint64_t i = 1; i <= kHeld; ++i)
-      BOOST_REQUIRE(!failed(value(disk)->write(write_of(i, random))));
+    for (std::uint64_t i = 1; i <= kWritten; ++i)
+      BOOST_REQUIRE(!failed(value(disk)->write(make_write(i, random))));
   }
-  BOOST_REQUIRE(!failed(Disk::open("/disk", files)));  // the log becomes a table
+  BOOST_REQUIRE(!failed(Disk::open("/disk", files)));  // converts the log to a table
   files.fail_reads(1);
   BOOST_TEST(failed(Disk::open("/disk", files)));
   auto disk = Disk::open("/disk", files);
   BOOST_REQUIRE(!failed(disk));
-  BOOST_TEST(value(disk)->last_write() == kHeld);
+  BOOST_TEST(value(disk)->last_write() == kWritten);
   BOOST_TEST(!failed(value(disk)->read()));
   BOOST_TEST(!value(disk)->is_damaged());
 }
 
 constexpr std::string_view kManifest = "/disk/MANIFEST-";
 constexpr std::string_view kWriteAheadLog = ".log";
-// A record of LevelDB's with a length of 1 and a checksum that its byte doesn't have.
+// A LevelDB log record of length 1 with a wrong checksum.
 constexpr std::string_view kTornRecord("\1\2\3\4\1\0\1x", 8);
 
-// A loss of power has torn the end of each file of this sort.
-void tear(SimulatedFiles& files, const std::function<bool(const std::string& path)>& is_torn) {
+// Appends a torn record to each matching file, as a power loss during a write does.
+void tear_files(SimulatedFiles& files, const std::function<bool(const std::string& path)>& is_torn) {
   auto torn = files.copy();
   for (auto& [path, file] : torn)
     if (is_torn(path)) file->synced += kTornRecord;
   files.put_back(std::move(torn));
 }
 
-using Refuse = std::function<void(SimulatedFiles& files)>;
+using InjectFault = std::function<void(SimulatedFiles& files)>;
 
-// The last write that a torn disk holds which refuses the n-th operation of its first opening; none: it is damaged.
-// What it holds is read once the disk no longer refuses.
-std::optional<std::uint64_t> last_write_after_refusal(
-    std::uint64_t held, const std::function<bool(const std::string& path)>& is_torn, const Refuse& refuse) {
+// Opens a torn disk while faults are injected, then again without faults. Returns the last write found at the
+// second opening; none if the disk is damaged.
+std::optional<std::uint64_t> last_write_after_fault(
+    std::uint64_t written, const std::function<bool(const std::string& path)>& is_torn,
+    const InjectFault& inject_fault) {
   SimulatedFiles files;
   std::mt19937_64 random(1);
   {
     auto disk = Disk::open("/disk", files);
-    for (std::uint64_t i = 1; i <= held; ++i) BOOST_REQUIRE(!failed(value(disk)->write(write_of(i, random))));
+    for (std::uint64_t i = 1; i <= written; ++i)
+      BOOST_REQUIRE(!failed(value(disk)->write(make_write(i, random))));
   }
-  tear(files, is_torn);
-  refuse(files);
+  tear_files(files, is_torn);
+  inject_fault(files);
   Disk::open("/disk", files);
   files.fail_writes(0), files.fail_reads(0);
   auto disk = Disk::open("/disk", files);
@@ -204,48 +209,50 @@
   return value(disk)->last_write();
 }
 
-// What can't be mended now must be there for the next try.
-BOOST_AUTO_TEST_CASE(given_a_torn_disk_when_it_refuses_while_it_is_mended_then_nothing_is_lost) {
-  constexpr std::uint64_t kHeld = 9;
-  constexpr std::uint64_t kMostOperations = 40;
+// If a repair fails, all data must still be there for the next attempt.
+BOOST_AUTO_TEST_CASE(given_a_torn_disk_when_io_fails_during_the_repair_then_nothing_is_lost) {
+  constexpr std::uint64_t kWritten = 9;
+  constexpr std::uint64_t kMaxOperations = 40;
   const auto is_manifest = [](const std::string& path) { return path.starts_with(kManifest); };
   const auto is_log = [](const std::string& path) { return path.ends_with(kWriteAheadLog); };
-  for (std::uint64_t passed = 0; passed < kMostOperations; ++passed) {
-    const auto refuse_writes = [&](SimulatedFiles& files) { files.fail_writes(1, passed); };
-    const auto refuse_reads = [&](SimulatedFiles& files) { files.fail_reads(1, passed); };
+  for (std::uint64_t passed = 0; passed < kMaxOperations; ++passed) {
+    const auto inject_write_error = [&](SimulatedFiles& files) { files.fail_writes(1, passed); };
+    const auto inject_read_error = [&](SimulatedFiles& files) { files.fail_reads(1, passed); };
     for (const auto& torn : {std::function<bool(const std::string&)>(is_manifest),
                              std::function<bool(const std::string&)>(is_log)}) {
       const auto where = std::string(torn("/disk/MANIFEST-1") ? "manifest" : "log") + " torn, operation " +
-                         std::to_string(passed + 1) + " refused";
-      for (const auto& refuse : {Refuse(refuse_writes), Refuse(refuse_reads)}) {
-        const auto last = last_write_after_refusal(kHeld, torn, refuse);
-        BOOST_TEST((last == kHeld), where << ": "
-                                          << (last ? "the disk ends at write " + std::to_string(*last)
-                                                   : "the disk is called damaged"));
+                         std::to_string(passed + 1) + " fails";
+      for (const auto& inject : {InjectFault(inject_write_error), InjectFault(inject_read_error)}) {
+        const auto last = last_write_after_fault(kWritten, torn, inject);
+        BOOST_TEST((last == kWritten), where << ": "
+                                             << (last ? "the disk ends at write " + std::to_string(*last)
+                                                      : "the disk is reported as damaged"));
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(given_a_disk_when_more_is_written_than_is_remembered_then_it_is_whole) {
+BOOST_AUTO_TEST_CASE(given_a_disk_when_more_writes_follow_than_numbers_are_retained_then_it_is_complete) {
   SimulatedFiles files;
   std::mt19937_64 random(1);
-  constexpr std::uint64_t kMany = 200;
-  for (std::uint64_t i = 1; i <= kMany; ++i) {
+  constexpr std::uint64_t kWritten = 200;
+  for (std::uint64_t i = 1; i <= kWritten; ++i) {
     auto disk = Disk::open("/disk", files);
     BOOST_REQUIRE(!failed(value(disk)->read()));
-    BOOST_REQUIRE(!failed(value(disk)->write(write_of(i, random))));
+    BOOST_REQUIRE(!failed(value(disk)->write(make_write(i, random))));
     BOOST_TEST(value(disk)->last_write() == i);
   }
 }
 
+// What a DiskThread reported: the number of completed writes, and the error if the disk was lost.
 struct ThreadOutcome {
   std::uint64_t done = 0;
   std::string lost;
 };
 
-// Three writes, a disk that refuses some, and a fourth one.
-ThreadOutcome write_past_refusals(bool put_back) {
+// Executes three writes and then a fourth one that fails at first. If `roll_back` is set, the files are reset
+// before that to their contents after the second write.
+ThreadOutcome write_with_fault(bool roll_back) {
   SimulatedFiles files;
   std::mt19937_64 random(1);
   auto disk = Disk::open("/a-folder-of-no-machine/disk", files);
@@ -257,7 +264,7 @@
   FolderEntries earlier;
   const auto write = [&](std::uint64_t number) {
     std::promise<void> written;
-    thread.write(write_of(number, random), [&] {
+    thread.write(make_write(number, random), [&] {
       ++done;
       written.set_value();
     });
@@ -266,20 +273,20 @@
   write(1), write(2);
   earlier = files.copy();
   write(3);
-  if (put_back) files.put_back(earlier);
+  if (roll_back) files.put_back(earlier);
   files.fail_writes(1);
-  thread.write(write_of(4, random), [&] { outcome.set_value({++done, ""}); });
+  thread.write(make_write(4, random), [&] { outcome.set_value({++done, ""}); });
   return outcome.get_future().get();
 }
 
 BOOST_AUTO_TEST_CASE(
-    given_a_disk_that_refused_a_write_when_it_is_opened_again_then_it_must_hold_what_it_held) {
-  const auto whole = write_past_refusals(false);
-  BOOST_TEST(whole.done == 4u);
-  BOOST_TEST(whole.lost.empty());
-  const auto lacking = write_past_refusals(true);
-  BOOST_TEST(lacking.done == 3u);
-  BOOST_TEST(lacking.lost.ends_with("writes are missing"));
+    given_a_disk_after_a_failed_write_when_it_is_reopened_then_it_must_hold_all_earlier_writes) {
+  const auto complete = write_with_fault(false);
+  BOOST_TEST(complete.done == 4u);
+  BOOST_TEST(complete.lost.empty());
+  const auto rolled_back = write_with_fault(true);
+  BOOST_TEST(rolled_back.done == 3u);
+  BOOST_TEST(rolled_back.lost.ends_with("writes are missing"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/link_relay.cpp
+++ b/tests/system/link_relay.cpp
@@ -10,68 +10,68 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr std::size_t kPieceBytes = 16384;
+constexpr std::size_t kBufferBytes = 16384;
 
 }  // namespace
 
-// One connection: two sockets, and what is on its way from each to the other.
-struct LinkRelay::Pipe : std::enable_shared_from_this<Pipe> {
-  Pipe(LinkRelay& owner, Socket from)
-      : relay(&owner), ends{std::move(from), Socket(owner.io_.get_executor())} {}
+// One relayed connection: both sockets, and the data in transit in each direction.
+struct LinkRelay::Connection : std::enable_shared_from_this<Connection> {
+  Connection(LinkRelay& owner, Socket from)
+      : relay(&owner), sockets{std::move(from), Socket(owner.io_.get_executor())} {}
 
-  // Goes on where a cut or an ended piece has left off.
-  void proceed() {
-    if (ended) return;
+  // Resumes whatever was blocked.
+  void resume() {
+    if (closed) return;
     if (!connected) return connect();
-    for (std::size_t direction = 0; direction < ends.size(); ++direction) pump(direction);
+    for (std::size_t direction = 0; direction < sockets.size(); ++direction) relay_data(direction);
   }
-  // A connection comes up only where both directions pass.
+  // Establishes the onward connection, which needs both directions to be unblocked.
   void connect() {
-    if (connecting || relay->cut_[0] || relay->cut_[1]) return;
+    if (connecting || relay->blocked_[0] || relay->blocked_[1]) return;
     connecting = true;
-    ends[1].async_connect(relay->to_, [self = shared_from_this()](const error_code& failed) {
-      if (failed || self->ended) return self->end();
+    sockets[1].async_connect(relay->to_, [self = shared_from_this()](const error_code& failed) {
+      if (failed || self->closed) return self->close();
       self->connected = true;
       error_code ignored;
-      for (auto& one : self->ends) one.set_option(Tcp::no_delay(true), ignored);
-      self->proceed();
+      for (auto& socket : self->sockets) socket.set_option(Tcp::no_delay(true), ignored);
+      self->resume();
     });
   }
-  void pump(std::size_t direction) {
-    if (ended || busy[direction] || relay->cut_[direction]) return;
+  void relay_data(std::size_t direction) {
+    if (closed || busy[direction] || relay->blocked_[direction]) return;
     busy[direction] = true;
-    if (waiting[direction] > 0) return write(direction);
-    ends[direction].async_read_some(
-        asio::buffer(pieces[direction]),
+    if (buffered_bytes[direction] > 0) return write(direction);
+    sockets[direction].async_read_some(
+        asio::buffer(buffers[direction]),
         [self = shared_from_this(), direction](const error_code& failed, std::size_t bytes) {
           self->busy[direction] = false;
-          if (failed) return self->end();
-          self->waiting[direction] = bytes;
-          self->pump(direction);  // what came just as it was cut waits here
+          if (failed) return self->close();
+          self->buffered_bytes[direction] = bytes;
+          self->relay_data(direction);  // holds the data back if the direction was blocked meanwhile
         });
   }
   void write(std::size_t direction) {
-    asio::async_write(ends[1 - direction], asio::buffer(pieces[direction], waiting[direction]),
+    asio::async_write(sockets[1 - direction], asio::buffer(buffers[direction], buffered_bytes[direction]),
                       [self = shared_from_this(), direction](const error_code& failed, std::size_t) {
                         self->busy[direction] = false;
-                        self->waiting[direction] = 0;
-                        if (failed) return self->end();
-                        self->pump(direction);
+                        self->buffered_bytes[direction] = 0;
+                        if (failed) return self->close();
+                        self->relay_data(direction);
                       });
   }
-  void end() {
-    ended = true;
-    for (auto& one : ends) snowknot::close_now(one);
+  void close() {
+    closed = true;
+    for (auto& socket : sockets) snowknot::close_now(socket);
   }
 
-  LinkRelay* relay;  // null: it has ended
-  std::array<Socket, 2> ends;
-  std::array<std::array<char, kPieceBytes>, 2> pieces{};
-  std::array<std::size_t, 2> waiting{};
+  LinkRelay* relay;  // null once the relay is destroyed
+  std::array<Socket, 2> sockets;
+  std::array<std::array<char, kBufferBytes>, 2> buffers{};
+  std::array<std::size_t, 2> buffered_bytes{};
   std::array<bool, 2> busy{};
   bool connecting = false;
   bool connected = false;
-  bool ended = false;
+  bool closed = false;
 };
 
 LinkRelay::LinkRelay(asio::io_context& io, const Tcp::endpoint& at, const Tcp::endpoint& to)
@@ -84,27 +84,27 @@
 }
 
 LinkRelay::~LinkRelay() {
-  for (const auto& pipe : pipes_) {
-    pipe->relay = nullptr;
-    pipe->end();
+  for (const auto& connection : connections_) {
+    connection->relay = nullptr;
+    connection->close();
   }
 }
 
-void LinkRelay::cut(std::size_t direction, bool on) {
-  cut_.at(direction) = on;
-  if (on) return;
-  const auto pipes = pipes_;
-  for (const auto& pipe : pipes) pipe->proceed();
+void LinkRelay::cut(std::size_t direction, bool blocked) {
+  blocked_.at(direction) = blocked;
+  if (blocked) return;
+  const auto connections = connections_;
+  for (const auto& connection : connections) connection->resume();
 }
 
 void LinkRelay::accept() {
   acceptor_.async_accept([this](const error_code& failed, Socket from) {
     if (failed == asio::error::operation_aborted) return;
     if (!failed) {
-      const auto pipe = std::make_shared<Pipe>(*this, std::move(from));
-      std::erase_if(pipes_, [](const auto& one) { return one->ended; });
-      pipes_.push_back(pipe);
-      pipe->proceed();
+      const auto connection = std::make_shared<Connection>(*this, std::move(from));
+      std::erase_if(connections_, [](const auto& existing) { return existing->closed; });
+      connections_.push_back(connection);
+      connection->resume();
     }
     accept();
   });
--- a/tests/system/link_relay.hpp
+++ b/tests/system/link_relay.hpp
@@ -1,5 +1,6 @@
-// A relay of TCP connections from one machine of a test to another. Each direction can be cut: what is sent then
-// waits, as on a link that drops every packet, and new connections get no answer. One io_context, one thread.
+// A TCP relay between two simulated machines. Each direction can be blocked, as by a network that drops every
+// packet: data in transit is held back, and new connections are not established. Runs on the thread of one
+// io_context.
 #pragma once
 
 #include <array>
@@ -11,26 +12,29 @@
 
 namespace docklift::test {
 
+// Forwards connections from one endpoint to another.
 class LinkRelay {
  public:
-  // Listens at `at` and passes each connection on to `to`. Throws boost::system::system_error where it can't listen.
+  // Listens at `at` and forwards each connection to `to`. Throws boost::system::system_error if it can't
+  // listen.
   LinkRelay(boost::asio::io_context& io, const Tcp::endpoint& at, const Tcp::endpoint& to);
   ~LinkRelay();
   LinkRelay(const LinkRelay&) = delete;
   LinkRelay& operator=(const LinkRelay&) = delete;
 
-  // Direction 0 is from those who connect, direction 1 to them. True: nothing passes until it is set to false.
-  void cut(std::size_t direction, bool on);
+  // Blocks or unblocks a direction: 0 is from the connecting side, 1 is to it.
+  void cut(std::size_t direction, bool blocked);
 
  private:
-  struct Pipe;
+  struct Connection;
   void accept();
 
   boost::asio::io_context& io_;
   Tcp::endpoint to_;
   Acceptor acceptor_;
-  std::vector<std::shared_ptr<Pipe>> pipes_;  // ended ones are dropped with the next connection
-  std::array<bool, 2> cut_{};
+  // Closed ones are removed when the next connection arrives.
+  std::vector<std::shared_ptr<Connection>> connections_;
+  std::array<bool, 2> blocked_{};
 };
 
 }  // namespace docklift::test
--- a/tests/system/simulated_files.cpp
+++ b/tests/system/simulated_files.cpp
@@ -13,14 +13,14 @@
 std::string name_of(const std::string& path) { return path.substr(path.rfind('/') + 1); }
 
 Status not_found(const std::string& path) { return Status::NotFound(path, "no such file"); }
-Status refused(const std::string& path) { return Status::IOError(path, "the disk refuses"); }
+Status injected_error(const std::string& path) { return Status::IOError(path, "injected I/O error"); }
 
 class SequentialReader : public leveldb::SequentialFile {
  public:
   SequentialReader(SimulatedFiles& files, std::string path, std::string bytes)
       : files_(files), path_(std::move(path)), bytes_(std::move(bytes)) {}
   Status Read(std::size_t size, Slice* result, char* scratch) override {
-    if (auto refused = files_.begin_read(path_); !refused.ok()) return refused;
+    if (auto status = files_.begin_read(path_); !status.ok()) return status;
     size = std::min(size, bytes_.size() - at_);
     std::copy_n(bytes_.data() + at_, size, scratch);
     at_ += size;
@@ -80,10 +80,10 @@
 
 class NoLock : public leveldb::FileLock {};
 
-// Of the writes after the last sync each is kept, missing (zeros, where a later one is kept) or torn.
+// Each unsynced write survives, is lost or is torn. A gap before a surviving write reads as zeros.
 std::string contents_after_power_loss(const SimulatedFile& file, std::mt19937_64& random) {
   std::string contents = file.synced;
-  if (random() % 3 == 0) return contents;  // at some losses of power all are gone
+  if (random() % 3 == 0) return contents;  // in some power losses all unsynced writes are lost
   std::string zeros;
   for (const auto& write : file.unsynced) {
     const auto fate = random() % 3;
@@ -92,10 +92,10 @@
       continue;
     }
     contents += std::exchange(zeros, {});
-    const std::size_t kept = fate == 1 ? write.size() : random() % (write.size() + 1);
-    contents.append(write, 0, kept);
-    zeros.append(write.size() - kept, '\0');
-    // The file may have its length already, or only what is kept and what is kept after it.
+    const std::size_t surviving = fate == 1 ? write.size() : random() % (write.size() + 1);
+    contents.append(write, 0, surviving);
+    zeros.append(write.size() - surviving, '\0');
+    // The file may already have grown to the full length of the write, or only up to what survived.
     if (random() % 2 == 0) contents += std::exchange(zeros, {});
   }
   return contents;
@@ -115,83 +115,83 @@
 
 void SimulatedFiles::lose_power_at(std::uint64_t operation, std::uint64_t seed,
                                    std::function<void()> at_loss) {
-  const std::lock_guard held(lock_);
-  operations_to_loss_ = operation;
+  const std::lock_guard guard(mutex_);
+  operations_until_loss_ = operation;
   random_.seed(seed);
   at_loss_ = std::move(at_loss);
 }
 
 void SimulatedFiles::restart(std::uint64_t seed, const std::function<void()>& at_loss) {
-  const std::lock_guard held(lock_);
-  if (!left_) {
+  const std::lock_guard guard(mutex_);
+  if (!survivors_) {
     random_.seed(seed);
     at_loss();
-    left_ = after_power_loss(random_);
+    survivors_ = after_power_loss(random_);
   }
-  entries_ = synced_entries_ = *std::exchange(left_, std::nullopt);
+  entries_ = synced_entries_ = *std::exchange(survivors_, std::nullopt);
   changes_.clear();
-  operations_to_loss_ = 0;
+  operations_until_loss_ = 0;
 }
 
 bool SimulatedFiles::power_lost() const {
-  const std::lock_guard held(lock_);
-  return left_.has_value();
+  const std::lock_guard guard(mutex_);
+  return survivors_.has_value();
 }
 
 FolderEntries SimulatedFiles::copy() const {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   FolderEntries copied = entries_;
   for (auto& [path, file] : copied) file = std::make_shared<SimulatedFile>(*file);
   return copied;
 }
 
 void SimulatedFiles::put_back(FolderEntries entries) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   entries_ = synced_entries_ = std::move(entries);
   changes_.clear();
 }
 
-void SimulatedFiles::fail_writes(std::uint64_t how_many, std::uint64_t passed) {
-  const std::lock_guard held(lock_);
-  write_refusals_ = {passed, how_many};
+void SimulatedFiles::fail_writes(std::uint64_t count, std::uint64_t passed) {
+  const std::lock_guard guard(mutex_);
+  write_faults_ = {passed, count};
 }
 
-void SimulatedFiles::fail_reads(std::uint64_t how_many, std::uint64_t passed) {
-  const std::lock_guard held(lock_);
-  read_refusals_ = {passed, how_many};
+void SimulatedFiles::fail_reads(std::uint64_t count, std::uint64_t passed) {
+  const std::lock_guard guard(mutex_);
+  read_faults_ = {passed, count};
 }
 
-bool SimulatedFiles::Refusals::refuses_next() {
-  if (how_many == 0) return false;
+bool SimulatedFiles::FaultSchedule::next_fails() {
+  if (count == 0) return false;
   if (passed > 0) {
     --passed;
     return false;
   }
-  --how_many;
+  --count;
   return true;
 }
 
 Status SimulatedFiles::begin_read(const std::string& path) {
-  const std::lock_guard held(lock_);
-  return read_refusals_.refuses_next() ? refused(path) : Status::OK();
+  const std::lock_guard guard(mutex_);
+  return read_faults_.next_fails() ? injected_error(path) : Status::OK();
 }
 
 void SimulatedFiles::begin_operation() {
-  if (operations_to_loss_ == 0 || --operations_to_loss_ > 0) return;
+  if (operations_until_loss_ == 0 || --operations_until_loss_ > 0) return;
   at_loss_();
-  left_ = after_power_loss(random_);
+  survivors_ = after_power_loss(random_);
 }
 
 FolderEntries SimulatedFiles::after_power_loss(std::mt19937_64& random) const {
-  FolderEntries left = synced_entries_;
+  FolderEntries survivors = synced_entries_;
   for (const auto& change : changes_) {
     if (random() % 2 == 0) continue;
-    if (!change.removed.empty()) left.erase(change.removed);
-    if (!change.added.empty()) left[change.added] = change.file;
+    if (!change.removed.empty()) survivors.erase(change.removed);
+    if (!change.added.empty()) survivors[change.added] = change.file;
   }
-  for (auto& [path, file] : left)
+  for (auto& [path, file] : survivors)
     file = std::make_shared<SimulatedFile>(SimulatedFile{contents_after_power_loss(*file, random), {}});
-  return left;
+  return survivors;
 }
 
 void SimulatedFiles::change(EntryChange change) {
@@ -210,25 +210,25 @@
 }
 
 Status SimulatedFiles::sync_folder(const std::string& folder) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   begin_operation();
   sync_entries(folder);
   return Status::OK();
 }
 
 Status SimulatedFiles::append(const std::string& path, const SimulatedFilePtr& file, std::string bytes) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   begin_operation();
-  if (write_refusals_.refuses_next()) return refused(path);
+  if (write_faults_.next_fails()) return injected_error(path);
   file->unsynced.push_back(std::move(bytes));
   return Status::OK();
 }
 
-// As LevelDB's own files do: a manifest's sync is one of its folder first.
+// Like LevelDB's own implementation, syncs the folder first if the file is a manifest.
 Status SimulatedFiles::sync(const std::string& path, const SimulatedFilePtr& file) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   begin_operation();
-  if (write_refusals_.refuses_next()) return refused(path);
+  if (write_faults_.next_fails()) return injected_error(path);
   if (name_of(path).starts_with("MANIFEST")) sync_entries(folder_of(path));
   file->synced = file->contents();
   file->unsynced.clear();
@@ -236,36 +236,36 @@
 }
 
 Status SimulatedFiles::NewSequentialFile(const std::string& path, leveldb::SequentialFile** file) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   const auto found = entries_.find(path);
   if (found == entries_.end()) return not_found(path);
-  if (read_refusals_.refuses_next()) return refused(path);
+  if (read_faults_.next_fails()) return injected_error(path);
   *file = new SequentialReader(*this, path, found->second->contents());
   return Status::OK();
 }
 
 Status SimulatedFiles::NewRandomAccessFile(const std::string& path, leveldb::RandomAccessFile** file) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   const auto found = entries_.find(path);
   if (found == entries_.end()) return not_found(path);
-  if (read_refusals_.refuses_next()) return refused(path);
+  if (read_faults_.next_fails()) return injected_error(path);
   *file = new RandomReader(found->second->contents());
   return Status::OK();
 }
 
 Status SimulatedFiles::NewWritableFile(const std::string& path, leveldb::WritableFile** file) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   begin_operation();
-  if (write_refusals_.refuses_next()) return refused(path);
-  const auto made = std::make_shared<SimulatedFile>();
-  change({"", path, made});
-  *file = new Writer(*this, path, made);
+  if (write_faults_.next_fails()) return injected_error(path);
+  const auto created = std::make_shared<SimulatedFile>();
+  change({"", path, created});
+  *file = new Writer(*this, path, created);
   return Status::OK();
 }
 
 Status SimulatedFiles::NewAppendableFile(const std::string& path, leveldb::WritableFile** file) {
   {
-    const std::lock_guard held(lock_);
+    const std::lock_guard guard(mutex_);
     if (const auto found = entries_.find(path); found != entries_.end()) {
       *file = new Writer(*this, path, found->second);
       return Status::OK();
@@ -275,12 +275,12 @@
 }
 
 bool SimulatedFiles::FileExists(const std::string& path) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   return entries_.contains(path);
 }
 
 Status SimulatedFiles::GetChildren(const std::string& folder, std::vector<std::string>* names) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   names->clear();
   for (const auto& [path, file] : entries_)
     if (folder_of(path) == folder) names->push_back(name_of(path));
@@ -288,7 +288,7 @@
 }
 
 Status SimulatedFiles::RemoveFile(const std::string& path) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   if (!entries_.contains(path)) return not_found(path);
   begin_operation();
   change({path, "", nullptr});
@@ -299,7 +299,7 @@
 Status SimulatedFiles::RemoveDir(const std::string&) { return Status::OK(); }
 
 Status SimulatedFiles::GetFileSize(const std::string& path, std::uint64_t* size) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   const auto found = entries_.find(path);
   if (found == entries_.end()) return not_found(path);
   *size = found->second->contents().size();
@@ -307,11 +307,11 @@
 }
 
 Status SimulatedFiles::RenameFile(const std::string& from, const std::string& to) {
-  const std::lock_guard held(lock_);
+  const std::lock_guard guard(mutex_);
   const auto found = entries_.find(from);
   if (found == entries_.end()) return not_found(from);
   begin_operation();
-  if (write_refusals_.refuses_next()) return refused(from);
+  if (write_faults_.next_fails()) return injected_error(from);
   change({from, to, found->second});
   return Status::OK();
 }
@@ -327,7 +327,7 @@
 }
 
 Status SimulatedFiles::NewLogger(const std::string& path, leveldb::Logger**) {
-  return Status::NotSupported(path, "nothing is logged");
+  return Status::NotSupported(path, "no log files");
 }
 
 }  // namespace docklift::test
--- a/tests/system/simulated_files.hpp
+++ b/tests/system/simulated_files.hpp
@@ -1,6 +1,7 @@
-// Files in memory under LevelDB, with what a loss of power does to them: of each file what its last sync covered is
-// kept, and each later write is kept, missing or torn by itself; each file that was made, renamed or removed without a
-// sync of its folder is kept or lost by itself. Folders are flat and always there. Safe for several threads.
+// An in-memory LevelDB environment that simulates power loss. Synced file contents survive; each unsynced
+// write independently survives, is lost or is torn; each creation, rename or removal of a file without a
+// later sync of its folder independently survives or is lost. Folders aren't nested and always exist.
+// Thread-safe.
 #pragma once
 
 #include <leveldb/env.h>
@@ -17,7 +18,7 @@
 
 namespace docklift::test {
 
-// What a file holds: what is durable, and the writes after it.
+// The contents of a file: the durable part, and the writes since the last sync.
 struct SimulatedFile {
   std::string synced;
   std::vector<std::string> unsynced;
@@ -26,22 +27,24 @@
 using SimulatedFilePtr = std::shared_ptr<SimulatedFile>;
 using FolderEntries = std::map<std::string, SimulatedFilePtr>;  // by path
 
+// The file system. It can lose power, be rolled back and fail reads or writes.
 class SimulatedFiles : public leveldb::EnvWrapper {
  public:
   SimulatedFiles() : EnvWrapper(leveldb::Env::Default()) {}
 
-  // Calls `at_loss` and takes what a loss of power would leave, at the n-th operation from now that changes
-  // something. What goes on after it changes nothing of that.
+  // Schedules a power loss at modifying operation number `operation` from now: calls `at_loss` and records
+  // what survives. Later operations appear to succeed, but are lost at the restart.
   void lose_power_at(std::uint64_t operation, std::uint64_t seed, std::function<void()> at_loss);
-  // Loses the power now, unless that has happened; then the files are what was left.
+  // Loses power now unless that has already happened, and continues with the files that survived.
   void restart(std::uint64_t seed, const std::function<void()>& at_loss);
   bool power_lost() const;
-  // Faults of the disk itself: its files are put back to what they were, and so many writes or reads fail after
-  // `passed` that don't. A file that is opened to be read is one read, each read of a log or manifest another.
+  // Disk faults. copy() and put_back() roll the files back to an earlier state. After `passed` more
+  // operations, `count` writes or reads fail. Opening a file for reading counts as a read, and so does each
+  // sequential read of a log or manifest.
   FolderEntries copy() const;
   void put_back(FolderEntries entries);
-  void fail_writes(std::uint64_t how_many, std::uint64_t passed = 0);
-  void fail_reads(std::uint64_t how_many, std::uint64_t passed = 0);
+  void fail_writes(std::uint64_t count, std::uint64_t passed = 0);
+  void fail_reads(std::uint64_t count, std::uint64_t passed = 0);
 
   leveldb::Status sync_folder(const std::string& folder);
   leveldb::Status NewSequentialFile(const std::string& path, leveldb::SequentialFile** file) override;
@@ -59,23 +62,24 @@
   leveldb::Status UnlockFile(leveldb::FileLock* lock) override;
   leveldb::Status NewLogger(const std::string& path, leveldb::Logger** logger) override;
 
-  // For the files that were opened.
+  // Used by the opened files.
   leveldb::Status append(const std::string& path, const SimulatedFilePtr& file, std::string bytes);
   leveldb::Status sync(const std::string& path, const SimulatedFilePtr& file);
   leveldb::Status begin_read(const std::string& path);
 
  private:
-  // Operations of one sort that fail after some that don't.
-  struct Refusals {
+  // Scheduled failures of one kind of operation: the next `passed` operations succeed, the `count` after them
+  // fail.
+  struct FaultSchedule {
     std::uint64_t passed = 0;
-    std::uint64_t how_many = 0;
-    bool refuses_next();
+    std::uint64_t count = 0;
+    bool next_fails();
   };
-  // A file that was made, renamed or removed since the last sync of its folder.
+  // A creation, rename or removal since the last sync of the folder.
   struct EntryChange {
-    std::string removed;    // path; empty: none
-    std::string added;      // path; empty: none
-    SimulatedFilePtr file;  // that is at `added`
+    std::string removed;    // path, or empty
+    std::string added;      // path, or empty
+    SimulatedFilePtr file;  // the file at `added`
     bool is_in(const std::string& folder) const;
   };
   void begin_operation();
@@ -83,12 +87,12 @@
   void sync_entries(const std::string& folder);
   FolderEntries after_power_loss(std::mt19937_64& random) const;
 
-  mutable std::mutex lock_;
+  mutable std::mutex mutex_;
   FolderEntries entries_, synced_entries_;
   std::vector<EntryChange> changes_;
-  std::optional<FolderEntries> left_;  // by a loss of power
-  std::uint64_t operations_to_loss_ = 0;
-  Refusals write_refusals_, read_refusals_;
+  std::optional<FolderEntries> survivors_;  // set once power is lost, until restart()
+  std::uint64_t operations_until_loss_ = 0;
+  FaultSchedule write_faults_, read_faults_;
   std::mt19937_64 random_;
   std::function<void()> at_loss_;
 };
--- a/tests/system/store_files.cpp
+++ b/tests/system/store_files.cpp
@@ -5,12 +5,12 @@
 namespace docklift::test {
 namespace {
 
-constexpr std::uint64_t kOperationsOfAWrite = 2;   // an append and a sync
-constexpr std::uint64_t kOperationsOfAStart = 24;  // of the files, at most
-constexpr std::uint64_t kLossAtAStart = 4;         // one start of so many loses its power
-constexpr std::uint64_t kRefusalAtAStart = 4;      // and one of so many meets a disk that refuses something
+constexpr std::uint64_t kOperationsPerWrite = 2;      // an append and a sync
+constexpr std::uint64_t kMaxOperationsPerStart = 24;  // file operations
+constexpr std::uint64_t kStartsPerPowerLoss = 4;      // one start in this many loses power, on average
+constexpr std::uint64_t kStartsPerFault = 4;          // one start in this many meets an I/O error, on average
 
-void nothing_to_note() {}
+void ignore_power_loss() {}
 
 }  // namespace
 
@@ -26,22 +26,22 @@
 }
 
 Result<agreement::DurableState> StoreFiles::open(std::mt19937_64& random) {
-  if (random() % kLossAtAStart == 0) {
-    files_.lose_power_at(1 + random() % kOperationsOfAStart, random(), nothing_to_note);
-    if (auto kept = open_once(); failed(kept)) return kept;
+  if (random() % kStartsPerPowerLoss == 0) {
+    files_.lose_power_at(1 + random() % kMaxOperationsPerStart, random(), ignore_power_loss);
+    if (auto stored = open_once(); failed(stored)) return stored;
     lose_power(random);
   }
-  if (random() % kRefusalAtAStart == 0) open_while_refusing(random);
+  if (random() % kStartsPerFault == 0) open_with_fault(random);
   return open_once();
 }
 
-// Whatever comes of it; the next opening must find all that was there.
-void StoreFiles::open_while_refusing(std::mt19937_64& random) {
-  constexpr std::uint64_t kRefused = 1;
+// The outcome of this opening doesn't matter, but the next one must find all data.
+void StoreFiles::open_with_fault(std::mt19937_64& random) {
+  constexpr std::uint64_t kFailures = 1;
   if (random() % 2 == 0) {
-    files_.fail_writes(kRefused, random() % kOperationsOfAStart);
+    files_.fail_writes(kFailures, random() % kMaxOperationsPerStart);
   } else {
-    files_.fail_reads(kRefused, random() % kOperationsOfAStart);
+    files_.fail_reads(kFailures, random() % kMaxOperationsPerStart);
   }
   open_once();
   close();
@@ -56,13 +56,13 @@
 void StoreFiles::close() { disk_.reset(); }
 
 void StoreFiles::lose_power_within(std::size_t writes, std::mt19937_64& random) {
-  const auto operations = kOperationsOfAWrite * writes + 1;
-  files_.lose_power_at(1 + random() % operations, random(), nothing_to_note);
+  const auto operations = kOperationsPerWrite * writes + 1;
+  files_.lose_power_at(1 + random() % operations, random(), ignore_power_loss);
 }
 
 void StoreFiles::lose_power(std::mt19937_64& random) {
   close();
-  files_.restart(random(), nothing_to_note);
+  files_.restart(random(), ignore_power_loss);
 }
 
 }  // namespace docklift::test
--- a/tests/system/store_files.hpp
+++ b/tests/system/store_files.hpp
@@ -1,5 +1,5 @@
-// A store's disk as it is deployed, LevelDB and all, over simulated files: power may be lost in the middle of a write
-// and in the middle of a start.
+// A store's disk with the real LevelDB on a simulated file system. Power may be lost during a write or during
+// a start.
 #pragma once
 
 #include <memory>
@@ -11,29 +11,30 @@
 
 namespace docklift::test {
 
+// The disk of one store, which survives restarts and power losses of that store.
 class StoreFiles {
  public:
-  // Without `syncs_folders` LevelDB's files are as it makes them: a planted fault.
+  // `syncs_folders` false omits the folder syncs of DurableEnv, as an injected defect.
   explicit StoreFiles(bool syncs_folders);
 
-  // Power may be lost during this start, or the disk refuse something, and it is made once more. A failure: the disk could not be read, or lacks
-  // something, and would be set aside.
+  // Opens and reads the disk; an attempt during which power is lost or I/O fails may come first. Fails if the
+  // disk can't be read or is incomplete, so that it would be set aside.
   Result<agreement::DurableState> open(std::mt19937_64& random);
-  // Durable when it returns. The disk must be open and refuses nothing.
+  // The write is durable on return. The disk must be open and without scheduled faults.
   void write(const agreement::Write& write);
-  // The process ends; what was written stays.
+  // Ends the process without a power loss: all writes remain.
   void close();
-  // Power will be lost within about so many writes from now; at the latest by lose_power().
+  // Schedules a power loss within about `writes` writes; lose_power() is the latest time.
   void lose_power_within(std::size_t writes, std::mt19937_64& random);
   void lose_power(std::mt19937_64& random);
 
  private:
   Result<agreement::DurableState> open_once();
-  void open_while_refusing(std::mt19937_64& random);
+  void open_with_fault(std::mt19937_64& random);
 
   SimulatedFiles files_;
   DurableEnv durable_;
-  leveldb::Env& env_;  // one of these two
+  leveldb::Env& env_;  // `durable_` or `files_`
   std::unique_ptr<Disk> disk_;
 };
 
