--- a/src/system/registry/main.cpp
+++ b/src/system/registry/main.cpp
@@ -14,7 +14,7 @@
         if (!settings.data_dir.empty()) {
           auto opened = RecordCache::open(settings.data_dir + "/records");
           if (failed(opened)) {
-            log.warn(failure(opened).shown());
+            log.warn(failure(opened).to_string());
           } else {
             record_cache = std::move(value(opened));
           }
@@ -24,8 +24,8 @@
         const auto serve = [&](const char* name, std::vector<std::shared_ptr<Handler>> handlers) {
           const auto address = settings.listen.find(name);
           if (address == settings.listen.end()) return std::unique_ptr<http::Server>();
-          auto endpoint = endpoint_of(address->second);
-          if (failed(endpoint)) throw std::runtime_error(failure(endpoint).shown());
+          auto endpoint = parse_endpoint(address->second);
+          if (failed(endpoint)) throw std::runtime_error(failure(endpoint).to_string());
           return std::make_unique<http::Server>(io, value(endpoint), http::ServerLimits{},
                                                 dispatch(std::move(handlers)));
         };
--- a/src/system/registry/registry.cpp
+++ b/src/system/registry/registry.cpp
@@ -57,7 +57,7 @@
   auto linked = voter_ips();
   std::erase_if(linked, [&](const std::string& ip) {
     const auto d = registries_.find(ip);
-    return ip != settings_.bind_ip && (d == registries_.end() || !d->second->up());
+    return ip != settings_.bind_ip && (d == registries_.end() || !d->second->is_connected());
   });
   return linked;
 }
@@ -122,7 +122,7 @@
         begin_read_barrier();
       },
       [this, ip](const Failure& why) {
-        log_.debug(why.shown());
+        log_.debug(why.to_string());
         follower_.on_source_lost(clock_.now(), ip);
         for (auto& [call, p] : pending_)
           if (p.store == ip) p.store.clear(), send_pending(call, p);
@@ -139,7 +139,7 @@
         send_hello(*link);
         send_all_records(*link);
       },
-      [this](const Failure& why) { log_.debug(why.shown()); });
+      [this](const Failure& why) { log_.debug(why.to_string()); });
   registries_[ip] = dialer;
   dialer->start();
 }
@@ -348,9 +348,10 @@
 // Only a registry that is connected to all others can distinguish an unresponsive server from its own
 // isolation.
 void Registry::expire_servers(Time now) {
-  const bool isolated = std::ranges::any_of(registries_, [](const auto& r) { return !r.second->up(); });
+  const bool isolated = std::ranges::any_of(registries_,
+                                            [](const auto& r) { return !r.second->is_connected(); });
   if (isolated || last_isolated_ == Time{}) last_isolated_ = now;
-  const auto server_timeout = from_millis(kMaxMissedHeartbeats * settings_.beat_ms);
+  const auto server_timeout = from_millis(kMaxMissedHeartbeats * settings_.heartbeat_ms);
   auto expired = servers_.expire(now, now - last_isolated_ > server_timeout ? server_timeout : Duration{},
                                  kDepartedRetention);
   if (expired.empty()) return;
@@ -393,7 +394,7 @@
   std::string successor;
   for (const auto& ip : voter_ips()) {
     const auto d = registries_.find(ip);
-    if (successor.empty() && d != registries_.end() && d->second->up()) successor = ip;
+    if (successor.empty() && d != registries_.end() && d->second->is_connected()) successor = ip;
   }
   if (const auto request = lease_.release(now, successor)) send_lease_request(*request);
   self_.leaving = true, self_.ready = false;
