--- a/rigs/faults/world.cpp
+++ b/rigs/faults/world.cpp
@@ -177,7 +177,7 @@
     const auto found = journal::recover(n.files, name(i));
     n.journal = std::make_unique<journal::Journal>(name(i), journal::Limits{.least_bytes = 8192});
     commit(i, n.journal->begin(clock(n), found));
-    carry_out(i, n.peer->remember(clock(n), recovery::recall(found, name(i))));
+    carry_out(i, n.peer->remember(clock(n), recovery::restore_state(found, name(i))));
   }
   void commit(std::size_t i, std::optional<journal::Commit> c) {
     if (!c) return;
@@ -232,11 +232,11 @@
   }
   void note_end(const Node& n) {
     auto& on_disk = ended_lives_[n.life];
-    for (const auto& page : recovery::recall(journal::recover(n.files, name(n.index)), name(n.index)).pages) {
+    for (const auto& page : recovery::restore_state(journal::recover(n.files, name(n.index)), name(n.index)).pages) {
       if (page.origin.life != n.life) continue;
       for (const auto& r : page.records)
         if (r.kind == replica::Kind::use)
-          for (const auto& u : replica::uses_of(r.value)) on_disk[CountName{replica::number_of_key(r.key)}] += static_cast<double>(u.least()) / 1000;
+          for (const auto& u : replica::parse_uses(r.value)) on_disk[CountName{replica::number_of_key(r.key)}] += static_cast<double>(u.least()) / 1000;
     }
   }
   // Of what was under way a part is there, or none.
@@ -392,7 +392,7 @@
   }
   void to_store(std::size_t i, const replica::Counts::Add& add) {
     auto& n = nodes_[i];
-    const bool tells = add.telling;
+    const bool tells = add.restores;
     double slow = 0;
     for (const auto& f : schedule_.faults)
       if (active(f) && f.kind == Kind::slow_store && names(f, i)) slow = std::max(slow, f.amount / 1000);
@@ -485,8 +485,8 @@
   }
 
   // ---- Lists ----------------------------------------------------------------------------------------------
-  std::vector<replica::Words::Entry> list() const {
-    std::vector<replica::Words::Entry> all;
+  std::vector<replica::ServerPhases::Entry> list() const {
+    std::vector<replica::ServerPhases::Entry> all;
     for (std::uint32_t s = 0; s < servers_.size(); ++s)
       all.push_back({s, servers_[s].start, servers_[s].draining ? replica::ServerPhase::draining : replica::ServerPhase::ready});
     return all;
@@ -513,7 +513,7 @@
                std::to_string(servers_[s].drained_at_revision) + ", by its list of revision " + std::to_string(n.revision));
     }
   }
-  void told_of_server(Node& n, const replica::Words::Told& t) {
+  void told_of_server(Node& n, const replica::ServerPhases::Override& t) {
     auto& truth = servers_[t.id];
     n.effective[t.id] = t.draining;
     if (t.draining && truth.draining) n.knew.insert({t.id, truth.drained_at_revision});
@@ -668,7 +668,7 @@
       for (const auto& other : nodes_) {
         if (&other == &n || !other.up || other.paused) continue;
         const Origin o{name(other.index), other.life};
-        for (const auto kind : {replica::Kind::use, replica::Kind::word, replica::Kind::epoch, replica::Kind::ended}) {
+        for (const auto kind : {replica::Kind::use, replica::Kind::server_status, replica::Kind::epoch, replica::Kind::epoch_ended}) {
           for (const auto& key : other.peer->records().keys(kind)) {
             const auto* theirs = other.peer->records().find(o, kind, key);
             if (!theirs || (theirs->ends != Instant{} && theirs->ends < clock(n) + 1s)) continue;
@@ -719,7 +719,7 @@
   std::map<CountName, double> between_loss_and_word_;
   std::map<std::pair<CountName, Instant>, std::size_t> tells_;
   std::vector<ServerTruth> servers_;
-  std::vector<std::pair<std::uint64_t, std::vector<replica::Words::Entry>>> lists_;  // all that there were
+  std::vector<std::pair<std::uint64_t, std::vector<replica::ServerPhases::Entry>>> lists_;  // all that there were
   Verdict verdict_;
 };
 
--- a/src/peers/peer.cpp
+++ b/src/peers/peer.cpp
@@ -84,16 +84,16 @@
   bool open = false;
   for (const auto& key : records_.keys(Kind::use))
     records_.each(Kind::use, key, [&](const Origin&, const replica::Record& r) {
-      for (const auto& u : replica::uses_of(r.value)) open = open || (u.epoch < epoch && u.most() > 0);
+      for (const auto& u : replica::parse_uses(r.value)) open = open || (u.epoch < epoch && u.most() > 0);
     });
-  if (open) take(counts_.epoch_heard(now_, epoch), out);
+  if (open) take(counts_.epoch_received(now_, epoch), out);
   else counts_.epoch_known(epoch);
   return out;
 }
 
 // ---- A disk -------------------------------------------------------------------------------------------------
 
-Out Peer::remember(Instant now, const recovery::Remembered& found) {
+Out Peer::remember(Instant now, const recovery::RestoredState& found) {
   Out out;
   now_ = std::max(now_, now);
   remembers_ = true;
@@ -110,7 +110,7 @@
   for (const auto& f : found.former) {
     if (f.life == options_.self.number) continue;
     const auto beside = f.left ? 0 : counts_.most_undurable();
-    records_.put(Kind::closed, replica::number_key(f.life), replica::to_text(f.number, found.damaged ? ~0ULL : beside) + replica::number_key(static_cast<std::uint64_t>(now_.count())),
+    records_.put(Kind::incarnation_closed, replica::number_key(f.life), replica::to_text(f.number, found.damaged ? ~0ULL : beside) + replica::number_key(static_cast<std::uint64_t>(now_.count())),
                  now_ + longest + options_.count_limits.margin);
   }
   out.log.push_back({"recovery", found.empty() ? "the disk knows nothing of this node"
@@ -144,17 +144,17 @@
   if (!std::exchange(disk_fails_, true)) out.log.push_back({"recovery", "the disk refuses: this node serves without, and a loss of power finds it empty"});
   remembers_ = true;
   // What this life passes from here on its disk will not know: it can't be closed by it.
-  records_.put(Kind::shut, kNoDisk, "");
+  records_.put(Kind::windows_closed, kNoDisk, "");
   counts_.without_disk();
   look_at_stage(out);
   return out;
 }
 
 bool Peer::is_closed(const Origin& o) const {
-  if (records_.find(o, Kind::shut, kNoDisk)) return false;
+  if (records_.find(o, Kind::windows_closed, kNoDisk)) return false;
   bool so = false;
-  records_.each(Kind::closed, replica::number_key(o.life), [&](const Origin& by, const replica::Record& r) {
-    so = so || (by.name == o.name && r.value.size() == kClosedSize && records_.whole_at(o) >= replica::get_number(r.value, 0) &&
+  records_.each(Kind::incarnation_closed, replica::number_key(o.life), [&](const Origin& by, const replica::Record& r) {
+    so = so || (by.name == o.name && r.value.size() == kClosedSize && records_.complete_at(o) >= replica::get_number(r.value, 0) &&
                 replica::get_number(r.value, 8) != ~0ULL);
   });
   return so;
@@ -170,10 +170,10 @@
 // What closed lives may have added beside what they told: counted until all counts that were open then have ended.
 void Peer::sum_raises() {
   raises_.clear();
-  for (const auto& key : records_.keys(Kind::closed)) {
+  for (const auto& key : records_.keys(Kind::incarnation_closed)) {
     std::uint64_t most = 0;
     Instant when{};
-    records_.each(Kind::closed, key, [&](const Origin&, const replica::Record& r) {
+    records_.each(Kind::incarnation_closed, key, [&](const Origin&, const replica::Record& r) {
       if (r.value.size() != kClosedSize || r.ends <= now_) return;
       const auto beside = replica::get_number(r.value, 8);
       if (beside != ~0ULL) most = std::max(most, beside);
@@ -209,29 +209,29 @@
       k.nothing_lost = all_here = false;
       continue;
     }
-    const auto* through = records_.find(o, Kind::shut, "");
+    const auto* through = records_.find(o, Kind::windows_closed, "");
     if (through && (met_before_.contains(o) || replica::number_of_key(through->value) > 0)) k.other_serves = true;
   }
-  records_.each(Kind::shut, kLost, [&](const Origin&, const replica::Record& r) {
+  records_.each(Kind::windows_closed, kLost, [&](const Origin&, const replica::Record& r) {
     k.shut = std::max(k.shut, Instant(static_cast<std::int64_t>(replica::number_of_key(r.value))));
   });
-  for (const auto& key : records_.keys(Kind::closed))
-    records_.each(Kind::closed, key, [&](const Origin& by, const replica::Record& r) {
-      if (r.value.size() == kClosedSize && records_.whole_at({by.name, replica::number_of_key(key)}) < replica::get_number(r.value, 0)) all_here = false;
+  for (const auto& key : records_.keys(Kind::incarnation_closed))
+    records_.each(Kind::incarnation_closed, key, [&](const Origin& by, const replica::Record& r) {
+      if (r.value.size() == kClosedSize && records_.complete_at({by.name, replica::number_of_key(key)}) < replica::get_number(r.value, 0)) all_here = false;
     });
-  k.all_told = all_here && here >= options_.fleet_size;
+  k.all_accounted_for = all_here && here >= options_.fleet_size;
   return k;
 }
 
 void Peer::look_at_stage(Out& out) {
   if (!options_.disk || !begun_ || stages_.stage() == recovery::Stage::full) return;
   const auto before = stages_.stage();
-  const auto release = stages_.look(now_, known());
+  const auto release = stages_.evaluate(now_, known());
   if (stages_.stage() != before) out.log.push_back({"recovery", std::string("stage ") + recovery::name_of(stages_.stage()) + (release ? ": " + release->why : "")});
   if (!release) return;
   sum_raises();
-  records_.put(Kind::shut, "", replica::number_key(static_cast<std::uint64_t>(release->shut.value_or(Instant{}).count())));
-  records_.hurry();
+  records_.put(Kind::windows_closed, "", replica::number_key(static_cast<std::uint64_t>(release->shut.value_or(Instant{}).count())));
+  records_.send_soon();
   take(counts_.release(now_, release->shut), out);
 }
 
@@ -256,7 +256,7 @@
   begun_ = true;
   stages_.begin(now);
   records_.put(Kind::node, "", node_text(state_, options_.file_version));
-  records_.put(Kind::ended, "", replica::number_key(0));
+  records_.put(Kind::epoch_ended, "", replica::number_key(0));
   take(members_.begin(now, options_.seeds), out);
   if (std::ranges::all_of(options_.seeds, [&](const auto& s) { return s == options_.self.address; })) caught_up_ = true;
   return out;
@@ -346,7 +346,7 @@
   const auto* m = members_.find(c.name);
   if (!m) return;
   look_for_ended_lives();
-  if (c.state >= members::State::dead) counts_.fellows_changed();
+  if (c.state >= members::State::dead) counts_.members_changed();
 #ifdef DOCKLIFT_PLANTS
   if (c.state == members::State::dead && planted(Plant::drain_fades)) records_.lose(c.name);
 #endif
@@ -360,14 +360,14 @@
     if (const auto* m = members_.find(s.to)) send(m->life.address, std::move(s.message), out);
   for (const auto& c : from.conflicts) out.log.push_back({"records", "CONFLICT of " + c.origin.name + "/" + hex(c.origin.life) + ": " + c.what});
   for (const auto& [origin, r] : from.changed) {
-    if (r.kind == Kind::word && options_.drains) {
-      auto told = words_.heard(r.key);
-      if (!told.empty()) records_.hurry();
+    if (r.kind == Kind::server_status && options_.drains) {
+      auto told = words_.record_received(r.key);
+      if (!told.empty()) records_.send_soon();
       take(std::move(told), out);
     }
-    if (r.kind == Kind::epoch && options_.counts) take(counts_.epoch_heard(now_, replica::number_of_key(r.value)), out);
-    if (r.kind == Kind::ended) records_.hurry();
-    if (r.kind == Kind::closed) sum_raises(), records_.hurry();
+    if (r.kind == Kind::epoch && options_.counts) take(counts_.epoch_received(now_, replica::number_of_key(r.value)), out);
+    if (r.kind == Kind::epoch_ended) records_.send_soon();
+    if (r.kind == Kind::incarnation_closed) sum_raises(), records_.send_soon();
   }
 }
 
@@ -376,10 +376,10 @@
   std::ranges::move(from.answers, std::back_inserter(out.answers));
   if (from.lost) {
     out.lost = from.lost;
-    if (options_.disk) records_.put(Kind::shut, kLost, replica::number_key(static_cast<std::uint64_t>(from.lost->at.time_since_epoch().count())));
+    if (options_.disk) records_.put(Kind::windows_closed, kLost, replica::number_key(static_cast<std::uint64_t>(from.lost->at.time_since_epoch().count())));
   }
   for (auto& l : from.log) out.log.push_back({"counts", std::move(l)});
-  if (from.hurry) records_.hurry();
+  if (from.urgent) records_.send_soon();
   if (from.longest) disk_.push_back(recovery::longest_count(*from.longest));
   if (from.largest && options_.disk && *from.largest > largest_) {
     largest_ = *from.largest, largest_number_ = disk_number_ + 1;
@@ -387,7 +387,7 @@
   }
 }
 
-void Peer::take(std::vector<replica::Words::Told>&& told, Out& out) {
+void Peer::take(std::vector<replica::ServerPhases::Override>&& told, Out& out) {
   for (const auto& t : told)
     out.log.push_back({"drains", "server " + std::to_string(t.id) + (t.draining ? " is drained by another node's word" : " serves again by this node's list")});
   std::ranges::move(told, std::back_inserter(out.servers));
@@ -441,7 +441,7 @@
     if (!a.answered || a.named.size() < a.origins) continue;
     whole += std::ranges::all_of(a.numbers, [&](const auto& e) {
       // Of one that nobody lives any more there may be no whole copy left.
-      return e.first == records_.self() || (gone(e.first) ? records_.number_of(e.first) : records_.whole_at(e.first)) >= e.second;
+      return e.first == records_.self() || (gone(e.first) ? records_.number_of(e.first) : records_.complete_at(e.first)) >= e.second;
     });
   }
   const std::size_t others = warm_time_over() ? members_.alive() : options_.fleet_size - 1;
@@ -469,7 +469,7 @@
   std::vector<Origin> living;
   for (const auto& [name, m] : members_.all())
     if (m.state == members::State::alive) living.push_back({name, m.life.number});
-  for (auto& t : beliefs_.believed(servers, living)) {
+  for (auto& t : beliefs_.aggregate(servers, living)) {
     ++believed_;
     out.log.push_back({"beliefs", "server " + std::to_string(t.id) + " serves others badly: " +
                                       std::to_string(static_cast<int>(t.success * 10)) + " of 10 attempts go well"});
@@ -539,10 +539,10 @@
   if (!begun_) return out;
   now_ = std::max(now_, now);
   counts_.write(now_);
-  records_.put(Kind::ended, "", replica::number_key(counts_.figures().epoch));
+  records_.put(Kind::epoch_ended, "", replica::number_key(counts_.figures().epoch));
   state_ = NodeState::left;
   records_.put(Kind::node, "", node_text(state_, options_.file_version));
-  take(records_.last_words(now_, reachable()), out);
+  take(records_.final_updates(now_, reachable()), out);
   take(members_.leave(), out);
   begun_ = false;
   return out;
@@ -553,7 +553,7 @@
   members_.set_seeds(std::move(seeds));
 }
 
-Out Peer::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries) {
+Out Peer::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::ServerPhases::Entry>& entries) {
   Out out;
   now_ = std::max(now_, now);
   if (whole) starts_.clear();
@@ -564,14 +564,14 @@
   if (!options_.drains) return out;
   bool fresh = false;
   take(words_.listed(now_, whole, revision, entries, fresh), out);
-  if (fresh) records_.hurry();
+  if (fresh) records_.send_soon();
   return out;
 }
 
 void Peer::seen(Instant now, std::uint32_t server, bool good) {
   now_ = std::max(now_, now);
   if (!options_.beliefs) return;
-  if (const auto it = starts_.find(server); it != starts_.end()) beliefs_.seen(now_, {server, it->second}, good);
+  if (const auto it = starts_.find(server); it != starts_.end()) beliefs_.record_attempt(now_, {server, it->second}, good);
 }
 
 Out Peer::add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime) {
--- a/src/peers/peer.hpp
+++ b/src/peers/peer.hpp
@@ -48,8 +48,8 @@
     std::string to{}, bytes{};
   };
   std::vector<Datagram> datagrams{};
-  std::vector<replica::Words::Told> servers{};
-  std::vector<replica::Beliefs::Told> beliefs{};
+  std::vector<replica::ServerPhases::Override> servers{};
+  std::vector<replica::Beliefs::Report> beliefs{};
   std::vector<replica::Counts::Add> adds{};
   std::vector<snowknot::CountAnswer> answers{};
   std::optional<snowknot::CountsLost> lost{};
@@ -59,7 +59,7 @@
   std::vector<Line> log{};
 };
 
-class Peer : private replica::Fellows {
+class Peer : private replica::FleetView {
  public:
   struct Figures {
     std::uint64_t datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0, forged = 0, unreadable = 0, strangers = 0,
@@ -73,7 +73,7 @@
   std::string copies() const;
   Out inherit(Instant now, std::string_view copies);
   // With a disk, before begin(): what it had, or nothing where it can't be read.
-  Out remember(Instant now, const recovery::Remembered& found);
+  Out remember(Instant now, const recovery::RestoredState& found);
   // What is to be written down since the last call. Once all of it is on the disk: durable() with `number`.
   struct ToDisk {
     std::vector<recovery::Change> changes{};
@@ -93,7 +93,7 @@
   Out leave(Instant now);
   void set_seeds(std::vector<std::string> seeds);
 
-  Out listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries);
+  Out listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::ServerPhases::Entry>& entries);
   // An attempt at a server of the list has ended.
   void seen(Instant now, std::uint32_t server, bool good);
   bool drained(std::uint32_t server) const { return words_.held(server); }
@@ -110,7 +110,7 @@
   const members::Members& members() const { return members_; }
   const replica::Replica& records() const { return records_; }
   const replica::Counts& counts() const { return counts_; }
-  const replica::Words& words() const { return words_; }
+  const replica::ServerPhases& words() const { return words_; }
   const replica::Beliefs& beliefs() const { return beliefs_; }
   const Figures& figures() const { return figures_; }
   recovery::Stage stage() const { return stages_.stage(); }
@@ -138,7 +138,7 @@
   void take(members::Out&& from, Out& out);
   void take(replica::Out&& from, Out& out);
   void take(replica::Counts::Out&& from, Out& out);
-  void take(std::vector<replica::Words::Told>&& told, Out& out);
+  void take(std::vector<replica::ServerPhases::Override>&& told, Out& out);
   void changed(const members::Change& c, Out& out);
   void send(const std::string& address, Body body, Out& out);
   void learn_vector(const replica::Origin& from, const replica::Message& m);
@@ -160,7 +160,7 @@
   members::Members members_;
   replica::Replica records_;
   replica::Counts counts_;
-  replica::Words words_;
+  replica::ServerPhases words_;
   replica::Beliefs beliefs_;
   std::map<std::uint32_t, std::uint64_t> starts_{};  // of the servers of the list
   Seen seen_;
--- a/src/peers/sections.cpp
+++ b/src/peers/sections.cpp
@@ -105,7 +105,7 @@
   p.count_limits.clocks = c.duration("peers.clocks");
   p.count_limits.tells_per_s = static_cast<double>(c.whole("peers.tells_per_s"));
   if (const auto& dir = c.text("state.dir"); !dir.empty()) {
-    recovery::KeeperOptions k;
+    recovery::JournalWriterOptions k;
     k.folder = dir;
     k.node = platform.name;
     k.journal.commit = c.duration("state.commit");
--- a/src/peers/station.cpp
+++ b/src/peers/station.cpp
@@ -16,8 +16,8 @@
 constexpr std::chrono::milliseconds kBindAgain{50};
 constexpr std::size_t kMostAddresses = 8192;
 
-replica::Words::Entry word_of(const snowknot::ServerInfo& info) {
-  replica::Words::Entry e;
+replica::ServerPhases::Entry word_of(const snowknot::ServerInfo& info) {
+  replica::ServerPhases::Entry e;
   e.id = static_cast<std::uint32_t>(info.id);
   if (info.started)
     e.start = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(info.started->time_since_epoch()).count());
@@ -85,10 +85,10 @@
 
 // One's own records first: nobody is spoken to on a start that could have been used before.
 void Station::open_disk() {
-  keeper_ = std::make_unique<recovery::Keeper>(
+  keeper_ = std::make_unique<recovery::JournalWriter>(
       io_, timers_, *options_.disk,
-      recovery::Keeper::Owner{.found = [this](const journal::Recovered& found) {
-                                carry_out(peer_.remember(now(), recovery::recall(found, options_.disk->node)));
+      recovery::JournalWriter::Owner{.found = [this](const journal::Recovered& found) {
+                                carry_out(peer_.remember(now(), recovery::restore_state(found, options_.disk->node)));
                                 bind();
                               },
                               .durable = [this](std::uint64_t number) { carry_out(peer_.durable(now(), number)); },
@@ -204,7 +204,7 @@
 // ---- The list of servers ------------------------------------------------------------------------------------
 
 // As one's own list has it, or drained: in the entries if it is among them, else behind them.
-void Station::tell(const replica::Words::Told& told, std::vector<Discovery::Entry>& entries) {
+void Station::tell(const replica::ServerPhases::Override& told, std::vector<Discovery::Entry>& entries) {
   const ServerId id{told.id};
   const auto it = std::ranges::find_if(entries, [&](const auto& e) { return e.info.id == id; });
   if (it != entries.end()) {
@@ -225,7 +225,7 @@
 void Station::listed(ListKind kind, std::uint64_t revision, std::vector<Discovery::Entry>& entries) {
   const bool whole = kind != ListKind::changes;
   if (whole) servers_.clear();
-  std::vector<replica::Words::Entry> words;
+  std::vector<replica::ServerPhases::Entry> words;
   for (const auto& e : entries) {
     words.push_back(word_of(e.info));
     if (e.info.phase == snowknot::Phase::gone) servers_.erase(e.info.id);
--- a/src/peers/station.hpp
+++ b/src/peers/station.hpp
@@ -21,7 +21,7 @@
 struct StationOptions {
   snowknot::Tcp::endpoint listen;  // UDP
   PeerOptions peer{};
-  std::optional<recovery::KeeperOptions> disk{};
+  std::optional<recovery::JournalWriterOptions> disk{};
 };
 
 class Station : public snowknot::ListView {
@@ -61,7 +61,7 @@
   void carry_out(Out out);
   void perform(Out& out);
   void arm();
-  void tell(const replica::Words::Told& told, std::vector<snowknot::Discovery::Entry>& entries);
+  void tell(const replica::ServerPhases::Override& told, std::vector<snowknot::Discovery::Entry>& entries);
   std::optional<Udp::endpoint> endpoint_of(const std::string& address);
 
   snowknot::asio::io_context& io_;
@@ -79,7 +79,7 @@
   bool performing_ = false, open_ = false, left_ = false, said_busy_ = false, heir_ = false;
   snowknot::Timers::Handle tick_, again_;
   std::optional<Instant> armed_;
-  std::unique_ptr<recovery::Keeper> keeper_;
+  std::unique_ptr<recovery::JournalWriter> keeper_;
 };
 
 }  // namespace docklift::peers
--- a/src/recovery/keeper.cpp
+++ b/src/recovery/keeper.cpp
@@ -15,21 +15,21 @@
 constexpr std::chrono::milliseconds kLockAgain{20};
 }
 
-Keeper::Keeper(snowknot::asio::io_context& io, snowknot::Timers& timers, KeeperOptions options, Owner owner)
+JournalWriter::JournalWriter(snowknot::asio::io_context& io, snowknot::Timers& timers, JournalWriterOptions options, Owner owner)
     : io_(io), timers_(timers), options_(std::move(options)), owner_(std::move(owner)), journal_(options_.node, options_.journal) {}
 
-Keeper::~Keeper() {
+JournalWriter::~JournalWriter() {
   close();
   *alive_ = false;
 }
 
-void Keeper::open() { lock_again(); }
+void JournalWriter::open() { lock_again(); }
 
-void Keeper::fail() {
+void JournalWriter::fail() {
   if (!std::exchange(broken_, true)) owner_.fails();
 }
 
-void Keeper::lock_again() {
+void JournalWriter::lock_again() {
   if (closed_) return;
   std::error_code ignored;
   std::filesystem::create_directories(options_.folder, ignored);
@@ -63,7 +63,7 @@
   arm();
 }
 
-void Keeper::put(std::uint64_t number, const std::vector<Change>& changes) {
+void JournalWriter::put(std::uint64_t number, const std::vector<Change>& changes) {
   if (!opened_ || closed_ || lock_ < 0) return;
   for (const auto& [key, value] : changes) commit(value ? journal_.put(now(), key, *value) : journal_.erase(now(), key));
   if (broken_ && !waiting_.empty()) waiting_.pop_back();  // the last one stands for all before it
@@ -72,14 +72,14 @@
   arm();
 }
 
-void Keeper::commit(std::optional<journal::Commit> c) {
+void JournalWriter::commit(std::optional<journal::Commit> c) {
   if (!c) return;
   const std::lock_guard<std::mutex> held(mutex_);
   commits_.push_back(std::move(*c));
   wake_.notify_one();
 }
 
-void Keeper::work() {
+void JournalWriter::work() {
   std::unique_lock<std::mutex> held(mutex_);
   for (;;) {
     wake_.wait(held, [this] { return stop_ || !commits_.empty(); });
@@ -95,7 +95,7 @@
   }
 }
 
-void Keeper::done(std::uint64_t id, bool ok) {
+void JournalWriter::done(std::uint64_t id, bool ok) {
   commit(journal_.done(now(), id, ok));
   if (!ok && journal_.figures().broken) fail();
   if (ok) broken_ = false;
@@ -103,7 +103,7 @@
   arm();
 }
 
-void Keeper::tell() {
+void JournalWriter::tell() {
   std::uint64_t upto = 0;
   while (!waiting_.empty() && waiting_.front().first <= journal_.durable()) {
     upto = waiting_.front().second;
@@ -112,7 +112,7 @@
   if (upto != 0) owner_.durable(upto);
 }
 
-void Keeper::arm() {
+void JournalWriter::arm() {
   timers_.cancel(timer_);
   const auto due = journal_.due();
   if (!due || closed_) return;
@@ -123,7 +123,7 @@
   });
 }
 
-void Keeper::close() {
+void JournalWriter::close() {
   if (std::exchange(closed_, true)) return;
   timers_.cancel(timer_);
   if (thread_.joinable()) {
--- a/src/recovery/keeper.hpp
+++ b/src/recovery/keeper.hpp
@@ -16,13 +16,13 @@
 
 namespace docklift::recovery {
 
-struct KeeperOptions {
+struct JournalWriterOptions {
   std::filesystem::path folder{};
   std::string node{};  // whose records they are
   journal::Limits journal{};
 };
 
-class Keeper {
+class JournalWriter {
  public:
   struct Owner {
     std::function<void(const journal::Recovered&)> found{};  // once; what follows is put() by then
@@ -31,10 +31,10 @@
   };
 
   // `timers` has to outlive it.
-  Keeper(snowknot::asio::io_context& io, snowknot::Timers& timers, KeeperOptions options, Owner owner);
-  ~Keeper();  // as close()
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  JournalWriter(snowknot::asio::io_context& io, snowknot::Timers& timers, JournalWriterOptions options, Owner owner);
+  ~JournalWriter();  // as close()
+  JournalWriter(const JournalWriter&) = delete;
+  JournalWriter& operator=(const JournalWriter&) = delete;
 
   // Reads the disk, once no other process has it: a predecessor that hands over, say.
   void open();
@@ -56,7 +56,7 @@
 
   snowknot::asio::io_context& io_;
   snowknot::Timers& timers_;
-  KeeperOptions options_;
+  JournalWriterOptions options_;
   Owner owner_;
   journal::Journal journal_;
   int lock_ = -1;
--- a/src/recovery/memory.cpp
+++ b/src/recovery/memory.cpp
@@ -37,7 +37,7 @@
   const auto it = state.find(key);
   return it == state.end() ? 0 : replica::number_of_key(it->second);
 }
-bool is_kept(Kind k) { return k != Kind::seen; }
+bool is_kept(Kind k) { return k != Kind::server_health; }
 
 }  // namespace
 
@@ -77,8 +77,8 @@
 Change longest_count(Instant lifetime) { return {kLongest, number_key(static_cast<std::uint64_t>(lifetime.count()))}; }
 Change largest_add(std::uint64_t thousandths) { return {kLargest, number_key(thousandths)}; }
 
-Remembered recall(const journal::Recovered& found, const std::string& name) {
-  Remembered r;
+RestoredState restore_state(const journal::Recovered& found, const std::string& name) {
+  RestoredState r;
   r.damaged = found.missing > 0;
   r.start = number_at(found.state, kStart);
   r.longest = Instant(static_cast<std::int64_t>(number_at(found.state, kLongest)));
@@ -100,7 +100,7 @@
     // An origin's number comes behind its records: one that is lost has cost their number only.
     if (origin.name == name) page.upto = std::max(page.upto, record.number);
     if (record.kind == Kind::epoch) r.epoch = std::max(r.epoch, replica::number_of_key(record.value));
-    if (record.kind == Kind::word && r.damaged) r.words.push_back(record);
+    if (record.kind == Kind::server_status && r.damaged) r.words.push_back(record);
     page.records.push_back(std::move(record));
   }
   for (auto& [origin, page] : pages) {
--- a/src/recovery/memory.hpp
+++ b/src/recovery/memory.hpp
@@ -27,16 +27,16 @@
 Change longest_count(Instant lifetime);
 Change largest_add(std::uint64_t thousandths);
 
-struct Former {
+struct PriorIncarnation {
   std::uint64_t life = 0, number = 0;  // of a start of this name, and of its last change that is known
   bool left = false;                   // it has said its last word
 };
 
-struct Remembered {
+struct RestoredState {
   std::uint64_t start = 0;               // the highest that this name has used; 0: none is known
   std::vector<replica::Page> pages{};    // copies of all lives
   std::vector<replica::Record> words{};  // of a damaged disk: drains, whoever said so
-  std::vector<Former> former{};          // lives of this name
+  std::vector<PriorIncarnation> former{};          // lives of this name
   std::uint64_t epoch = 0;
   Instant longest{};                     // life of a count; 0: not known
   std::uint64_t largest = 0;             // amount of one call, thousandths
@@ -45,6 +45,6 @@
 };
 
 // Of the disk of `name`. The journal has passed over what is not its own.
-Remembered recall(const journal::Recovered& found, const std::string& name);
+RestoredState restore_state(const journal::Recovered& found, const std::string& name);
 
 }  // namespace docklift::recovery
--- a/src/recovery/stages.cpp
+++ b/src/recovery/stages.cpp
@@ -22,7 +22,7 @@
   waits_for_.clear();
 }
 
-std::optional<Stages::Release> Stages::look(Instant now, const Known& known) {
+std::optional<Stages::Release> Stages::evaluate(Instant now, const Known& known) {
   if (stage_ == Stage::reading) {
     waits_for_ = "its own records";
     if (!known.read) return std::nullopt;
@@ -43,7 +43,7 @@
   };
   if (planted(Plant::released_at_once)) return full({}, "");
   if (known.caught_up && known.nothing_lost) return full({}, "nobody was lost");
-  if (known.caught_up && known.all_told) return full({}, "all that were lost are back, with all that they passed");
+  if (known.caught_up && known.all_accounted_for) return full({}, "all that were lost are back, with all that they passed");
   if (known.caught_up && known.other_serves) return full({}, "another node serves that knows");
   if (now - entered_ < limits_.verify) return waits_for_ = known.caught_up ? "lives that are over without a last word" : "copies of two others", std::nullopt;
   if (planted(Plant::time_shuts_nothing)) return full({}, "");
--- a/src/recovery/stages.hpp
+++ b/src/recovery/stages.hpp
@@ -34,7 +34,7 @@
   bool read = false;       // one's own records, or that they can't be
   bool durable = false;    // the number of this start is on the disk, or the disk refuses
   bool caught_up = false;  // copies of others were taken, or there is nobody else
-  bool all_told = false;   // all nodes of the fleet are here or have left, and all lives that are over are closed and held
+  bool all_accounted_for = false;   // all nodes of the fleet are here or have left, and all lives that are over are closed and held
   bool nothing_lost = false;  // no life is known, on the disk or from others, that ended without a last word
   bool other_serves = false;  // one that is through with this: it was not down with this node, or has shut what it had to
   Instant shut{};             // until when any life that is known has had to leave windows shut; 0: none has
@@ -52,8 +52,8 @@
 
   void begin(Instant now) { began_ = entered_ = now; }
   // What follows from it: once in a life the counts are released.
-  std::optional<Release> look(Instant now, const Known& known);
-  // When look() is wanted though nothing happens; at the latest.
+  std::optional<Release> evaluate(Instant now, const Known& known);
+  // When evaluate() is wanted though nothing happens; at the latest.
   std::optional<Instant> due() const;
 
   Stage stage() const { return stage_; }
--- a/src/recovery/state_command.cpp
+++ b/src/recovery/state_command.cpp
@@ -28,16 +28,16 @@
 const char* name_of(replica::Kind k) {
   using enum replica::Kind;
   switch (k) {
-    case seen: return "seen";
+    case server_health: return "seen";
     case node: return "node";
-    case word: return "drains and leaving servers";
+    case server_status: return "drains and leaving servers";
     case use: return "use of counts";
     case epoch: return "epoch of the store";
-    case ended: return "epochs that were ended";
-    case telling: return "tellings that were begun";
-    case told: return "tellings that were done";
-    case closed: return "lives that were closed";
-    case shut: return "windows that were shut";
+    case epoch_ended: return "epochs that were ended";
+    case restore_started: return "tellings that were begun";
+    case restore_done: return "tellings that were done";
+    case incarnation_closed: return "lives that were closed";
+    case windows_closed: return "windows that were shut";
   }
   return "?";
 }
@@ -54,7 +54,7 @@
     for (const auto& d : found.damage) std::cerr << folder << '/' << d.file << " at " << d.offset << ": " << d.what << '\n';
     return kNoInput;
   }
-  const auto r = recall(found, whose);
+  const auto r = restore_state(found, whose);
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   json damage = json::array(), lives = json::array(), kinds = json::object();
   for (const auto& d : found.damage) damage.push_back({{"file", d.file}, {"offset", d.offset}, {"what", d.what}});
@@ -66,7 +66,7 @@
       auto& n = kinds[name_of(x.kind)];
       n = n.is_null() ? 1 : n.get<int>() + 1;
       open += x.kind == replica::Kind::use && x.ends > now ? 1 : 0;
-      drains += x.kind == replica::Kind::word ? 1 : 0;
+      drains += x.kind == replica::Kind::server_status ? 1 : 0;
     }
   }
   json former = json::array();
--- a/src/replica/beliefs.cpp
+++ b/src/replica/beliefs.cpp
@@ -24,7 +24,7 @@
   return (s.good * part + limits_.prior) / (s.all * part + limits_.prior);
 }
 
-void Beliefs::seen(Instant now, Server server, bool good) {
+void Beliefs::record_attempt(Instant now, Server server, bool good) {
   auto it = met_.find(server.id);
   if (it == met_.end()) {
     if (met_.size() >= limits_.most_servers) return;
@@ -32,7 +32,7 @@
   }
   auto& s = it->second;
   if (s.start != server.start) {  // another process
-    say(now, server.id, s, Sight::kNothing);
+    say(now, server.id, s, ServerHealth::kWithdrawn);
     s = {.start = server.start, .at = now};
   }
   const double part = faded(s, now);
@@ -42,9 +42,9 @@
 // Whether somebody else speaks ill of it.
 bool Beliefs::disputed(std::uint32_t id, std::uint64_t start) const {
   bool so = false;
-  records_.each(Kind::seen, key_of(id), [&](const Origin& o, const Record& r) {
+  records_.each(Kind::server_health, key_of(id), [&](const Origin& o, const Record& r) {
     if (o == records_.self()) return;
-    const auto s = sight_of(r.value);
+    const auto s = parse_server_health(r.value);
     so = so || (s && s->start == start && s->tenths < kWell);
   });
   return so;
@@ -53,8 +53,8 @@
 bool Beliefs::say(Instant now, std::uint32_t id, Sightings& s, std::uint8_t tenths) {
   if (s.said == tenths) return false;
   s.said = tenths;
-  const bool back = tenths == Sight::kNothing;
-  records_.put(Kind::seen, key_of(id), to_text(Sight{s.start, tenths}), back ? now + limits_.kept : Instant{});
+  const bool back = tenths == ServerHealth::kWithdrawn;
+  records_.put(Kind::server_health, key_of(id), to_text(ServerHealth{s.start, tenths}), back ? now + limits_.kept : Instant{});
   ++(back ? figures_.taken_back : tenths == kWell ? figures_.contradicted : figures_.said);
   return true;
 }
@@ -73,11 +73,11 @@
   for (auto it = met_.begin(); it != met_.end();) {
     auto& [id, s] = *it;
     if (now - s.at > limits_.stand) {
-      fresh = say(now, id, s, Sight::kNothing) || fresh;
+      fresh = say(now, id, s, ServerHealth::kWithdrawn) || fresh;
       it = met_.erase(it);
       continue;
     }
-    if (s.said == Sight::kNothing && s.all * faded(s, now) < limits_.least) {
+    if (s.said == ServerHealth::kWithdrawn && s.all * faded(s, now) < limits_.least) {
       ++it;
       continue;
     }
@@ -91,20 +91,20 @@
     } else if (disputed(id, s.start)) {
       fresh = say(now, id, s, kWell) || fresh;
     } else if (complains) {
-      fresh = say(now, id, s, Sight::kNothing) || fresh;
+      fresh = say(now, id, s, ServerHealth::kWithdrawn) || fresh;
     }
     ++it;
   }
   return fresh;
 }
 
-std::vector<Beliefs::Told> Beliefs::believed(const std::vector<Server>& servers, const std::vector<Origin>& alive) const {
-  std::vector<Told> told;
+std::vector<Beliefs::Report> Beliefs::aggregate(const std::vector<Server>& servers, const std::vector<Origin>& alive) const {
+  std::vector<Report> told;
   for (const auto& server : servers) {
     std::vector<std::uint8_t> words;
-    records_.each(Kind::seen, key_of(server.id), [&](const Origin& o, const Record& r) {
-      const auto s = sight_of(r.value);
-      if (!s || s->start != server.start || s->tenths == Sight::kNothing) return;
+    records_.each(Kind::server_health, key_of(server.id), [&](const Origin& o, const Record& r) {
+      const auto s = parse_server_health(r.value);
+      if (!s || s->start != server.start || s->tenths == ServerHealth::kWithdrawn) return;
       if (std::ranges::find(alive, o) == alive.end() && !planted(Plant::dead_believed)) return;
       words.push_back(s->tenths);
     });
@@ -113,7 +113,7 @@
     const auto middle = planted(Plant::one_voice_believed) ? words.back() : words[(words.size() - 1) / 2];
     if (middle < kWell) told.push_back({server.id, middle / 10.0});
   }
-  std::ranges::stable_sort(told, {}, &Told::success);
+  std::ranges::stable_sort(told, {}, &Report::success);
   if (told.size() > servers.size() / 2) told.resize(servers.size() / 2);
   return told;
 }
--- a/src/replica/beliefs.hpp
+++ b/src/replica/beliefs.hpp
@@ -31,7 +31,7 @@
     std::uint32_t id = 0;
     std::uint64_t start = 0;
   };
-  struct Told {
+  struct Report {
     std::uint32_t id = 0;
     double success = 1;
   };
@@ -43,11 +43,11 @@
   Beliefs(Replica& records, BeliefLimits limits) : records_(records), limits_(limits) {}
 
   // An attempt at a server has ended.
-  void seen(Instant now, Server server, bool good);
+  void record_attempt(Instant now, Server server, bool good);
   // Words of one's own are brought up to date. True where there are new ones.
   bool write(Instant now);
   // What is to be believed of these servers by the words of these origins: half of them at most, the worst ones.
-  std::vector<Told> believed(const std::vector<Server>& servers, const std::vector<Origin>& alive) const;
+  std::vector<Report> aggregate(const std::vector<Server>& servers, const std::vector<Origin>& alive) const;
   Figures figures() const;
 
  private:
@@ -55,7 +55,7 @@
     std::uint64_t start = 0;
     double good = 0, all = 0;
     Instant at{};
-    std::uint8_t said = Sight::kNothing;
+    std::uint8_t said = ServerHealth::kWithdrawn;
   };
   double faded(const Sightings& s, Instant now) const;
   double success(const Sightings& s, Instant now) const;
--- a/src/replica/counts.cpp
+++ b/src/replica/counts.cpp
@@ -86,7 +86,7 @@
   for (const auto& key : records_.keys(Kind::use))
     records_.each(Kind::use, key, [&](const Origin&, const Record& r) {
       if (r.ends <= now) return;
-      for (const auto& u : uses_of(r.value)) open = open || (u.epoch < epoch_ && u.most() > 0);
+      for (const auto& u : parse_uses(r.value)) open = open || (u.epoch < epoch_ && u.most() > 0);
     });
   return open;
 }
@@ -98,7 +98,7 @@
   if (planted(Plant::gone_not_looked_at)) return sum;
   records_.each(Kind::use, key_of(name), [&](const Origin& o, const Record& r) {
     if (o == records_.self() || !fellows_.gone(o)) return;
-    for (const auto& u : uses_of(r.value)) sum += u.epoch == epoch_ ? u.least() : 0;
+    for (const auto& u : parse_uses(r.value)) sum += u.epoch == epoch_ ? u.least() : 0;
   });
   return sum;
 }
@@ -140,10 +140,10 @@
   if (call.telling) {
     // What a teller adds belongs to all, and is no use of this life. Only what surely was added is taken off what is missing.
     if (added && call.epoch == epoch_) {
-      records_.put(Kind::told, key_of(answer.name), to_text(call.epoch, static_cast<std::uint64_t>(amount)), b.ends);
+      records_.put(Kind::restore_done, key_of(answer.name), to_text(call.epoch, static_cast<std::uint64_t>(amount)), b.ends);
       ++figures_.told;
       b.told += amount;
-      out.hurry = true;
+      out.urgent = true;
     }
     return out;
   }
@@ -190,19 +190,19 @@
 
 Counts::Out Counts::lost(Instant now, const snowknot::CountsLost&) {
   Out out;
-  if (held_) return epoch_heard(now, epoch_ + 1);
+  if (held_) return epoch_received(now, epoch_ + 1);
   if (!settling_) begin_epoch(now, epoch_ + 1, "the store says so", out);
   return out;
 }
 
-Counts::Out Counts::epoch_heard(Instant now, std::uint64_t epoch) {
+Counts::Out Counts::epoch_received(Instant now, std::uint64_t epoch) {
   Out out;
   if (held_) {  // nothing of this life is in any store: it has ended all epochs, and settles when it is released
     if (epoch <= epoch_) return out;
     epoch_ = epoch;
     records_.put(Kind::epoch, "", number_key(epoch));
-    records_.put(Kind::ended, "", number_key(epoch));
-    out.hurry = true;
+    records_.put(Kind::epoch_ended, "", number_key(epoch));
+    out.urgent = true;
     return out;
   }
   if (epoch > epoch_) begin_epoch(now, epoch, "another node says so", out);
@@ -214,7 +214,7 @@
   ++figures_.losses;
   out.log.push_back("the store has lost counts (" + std::string(why) + "): epoch " + std::to_string(epoch) + " begins");
   records_.put(Kind::epoch, "", number_key(epoch));
-  out.hurry = true;
+  out.urgent = true;
   mends_ = 0, telling_ = false;
   for (auto& [name, b] : books_) b.said = false, b.told = 0;
   settling_ = now;
@@ -235,16 +235,16 @@
   if (!ended_said_ && !calls_of_former_epoch()) {
     for (auto& [name, b] : books_)
       if (b.dirty) write_one(now, name, b);
-    records_.put(Kind::ended, "", number_key(epoch_));
+    records_.put(Kind::epoch_ended, "", number_key(epoch_));
     ended_said_ = true;
-    out.hurry = true;
+    out.urgent = true;
   }
   if (!settling_) return;
   bool all = ended_said_;
   for (const auto& o : fellows_.alive()) {
-    const auto* r = records_.find(o, Kind::ended, "");
+    const auto* r = records_.find(o, Kind::epoch_ended, "");
     // And all that was said before it: what an origin has changed again since comes behind it.
-    all = all && r && number_of_key(r->value) >= epoch_ && records_.whole_at(o) >= r->number;
+    all = all && r && number_of_key(r->value) >= epoch_ && records_.complete_at(o) >= r->number;
   }
   if (planted(Plant::settled_too_early)) all = ended_said_;
   const auto since = now - std::max(longest_, Instant(std::chrono::seconds(1))) - limits_.margin;
@@ -285,15 +285,15 @@
     if (o == records_.self()) return;  // one's own are at hand, and newer
     if (planted(Plant::use_of_the_dead_lost) && std::ranges::find(alive, o) == alive.end()) return;
     const bool most = limits_.ahead && fellows_.gone(o) && !planted(Plant::gone_not_looked_at);
-    for (const auto& u : uses_of(r.value)) count(u, planted(Plant::use_counted_twice) ? 2 : 1, most);
+    for (const auto& u : parse_uses(r.value)) count(u, planted(Plant::use_counted_twice) ? 2 : 1, most);
   });
   if (const auto it = books_.find(name); it != books_.end())
     for (const auto& u : it->second.uses) count(u, 1, false);
   const auto told = [&](const Origin&, const Record& r) {
     if (r.value.size() == 16 && get_number(r.value, 0) == epoch_) sum.told += static_cast<std::int64_t>(get_number(r.value, 8));
   };
-  records_.each(Kind::told, key, told);
-  if (planted(Plant::told_taken_off_early)) records_.each(Kind::telling, key, told);
+  records_.each(Kind::restore_done, key, told);
+  if (planted(Plant::told_taken_off_early)) records_.each(Kind::restore_started, key, told);
   if (limits_.ahead) {
     const auto it = books_.find(name);
     sum.before += static_cast<std::int64_t>(fellows_.raise(it == books_.end() ? Instant{} : it->second.began));
@@ -326,7 +326,7 @@
     const bool teller = std::ranges::none_of(alive, [&](const Origin& o) { return weight(o.name) > mine; });
     if (!teller && !planted(Plant::told_by_everyone)) continue;
     bool begun = false;  // by one before, also one that has died since: if it was added is not known, so it stays on top
-    records_.each(Kind::telling, key, [&](const Origin&, const Record& r) {
+    records_.each(Kind::restore_started, key, [&](const Origin&, const Record& r) {
       begun = begun || (r.value.size() == 16 && get_number(r.value, 0) == epoch_);
     });
     const auto known = sums(name);
@@ -335,10 +335,10 @@
     auto& b = books_[name];
     b.said = true;
     if (b.ends == Instant{}) b.ends = ends;
-    records_.put(Kind::telling, key, to_text(epoch_, static_cast<std::uint64_t>(lacks)), ends);
+    records_.put(Kind::restore_started, key, to_text(epoch_, static_cast<std::uint64_t>(lacks)), ends);
     b.out.push_back({static_cast<double>(lacks) / 1000, epoch_, true, 0});
     out.adds.push_back({name, static_cast<double>(lacks) / 1000, snowknot::Duration(ends - limits_.margin - now), true});
-    out.hurry = true;
+    out.urgent = true;
     return;
   }
   telling_ = false;
--- a/src/replica/counts.hpp
+++ b/src/replica/counts.hpp
@@ -36,9 +36,9 @@
 };
 
 // What the guard asks of the fleet.
-class Fellows {
+class FleetView {
  public:
-  virtual ~Fellows() = default;
+  virtual ~FleetView() = default;
   // Names of the other members that are alive and whose latest life is known, with that life's origin.
   virtual std::vector<Origin> alive() const = 0;
   // Whether some member is in doubt, or was lost without a word since `since`: what it added may not have been told.
@@ -58,14 +58,14 @@
     snowknot::CountName name{};
     double amount = 0;
     snowknot::Duration lifetime{};
-    bool telling = false;  // again, for all
+    bool restores = false;  // again, for all
   };
   struct Out {
     std::vector<Add> adds{};                        // to the store
     std::vector<snowknot::CountAnswer> answers{};   // to the module
     std::optional<snowknot::CountsLost> lost{};     // to the module
     std::vector<std::string> log{};
-    bool hurry = false;                           // records that others wait for were written
+    bool urgent = false;                           // records that others wait for were written
     std::optional<std::uint64_t> largest{};         // thousandths of a call that is larger than any on the disk: not made
     std::optional<Instant> longest{};               // a count lives longer than any before
   };
@@ -77,17 +77,17 @@
     std::uint64_t undurable = 0;  // calls that were not made as too much was not on the disk yet
   };
 
-  Counts(Replica& records, Fellows& fellows, CountLimits limits) : records_(records), fellows_(fellows), limits_(limits) {}
+  Counts(Replica& records, FleetView& fellows, CountLimits limits) : records_(records), fellows_(fellows), limits_(limits) {}
 
   Out add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime);
   Out answered(Instant now, const snowknot::CountAnswer& answer);
   // The store says itself that it has lost counts.
   Out lost(Instant now, const snowknot::CountsLost& lost);
   // Another's record of an epoch has come.
-  Out epoch_heard(Instant now, std::uint64_t epoch);
+  Out epoch_received(Instant now, std::uint64_t epoch);
   // The epoch in force when this life begins: nothing was added by it before.
   // Somebody has died or left who may have been a teller: what it has not begun is another's to tell.
-  void fellows_changed() { telling_ = telling_ || mends_ != 0; }
+  void members_changed() { telling_ = telling_ || mends_ != 0; }
   void epoch_known(std::uint64_t epoch) { epoch_ = std::max(epoch_, epoch); }
   // After a loss of power nothing is added, and that is said at once, until it is known what was added before; `shut`: not all of it ever
   // will be, and windows that had begun by then stay shut.
@@ -145,7 +145,7 @@
   void write_one(Instant now, snowknot::CountName name, Book& b);
 
   Replica& records_;
-  Fellows& fellows_;
+  FleetView& fellows_;
   CountLimits limits_;
   std::unordered_map<snowknot::CountName, Book> books_;
   std::uint64_t epoch_ = 0;
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -72,13 +72,13 @@
 
 // ---- Rounds -------------------------------------------------------------------------------------------------
 
-Instant Replica::due() const { return hurry_ ? Instant{} : std::min(next_round_, next_repair_); }
+Instant Replica::due() const { return send_soon_ ? Instant{} : std::min(next_round_, next_repair_); }
 
 Out Replica::tick(Instant now, const std::vector<std::string>& peers) {
   Out out;
-  const bool round = hurry_ || now >= next_round_;
+  const bool round = send_soon_ || now >= next_round_;
   if (round) {
-    hurry_ = false;
+    send_soon_ = false;
     next_round_ = now + limits_.round;
     // What is new here, one's own and what was just taken, goes to a few; they pass it on.
     std::vector<Entry> fresh;
@@ -117,7 +117,7 @@
   return out;
 }
 
-Out Replica::last_words(Instant now, std::vector<std::string> peers) {
+Out Replica::final_updates(Instant now, std::vector<std::string> peers) {
   Out out;
   random_.shuffle(peers);
   if (peers.size() > 2 * limits_.fanout) peers.resize(2 * limits_.fanout);
@@ -374,7 +374,7 @@
     s.by_number[r.number] = k;
     s.records[k] = r;
   }
-  hurry_ = true;
+  send_soon_ = true;
 }
 
 void Replica::make_room() {
--- a/src/replica/replica.hpp
+++ b/src/replica/replica.hpp
@@ -34,13 +34,24 @@
 };
 
 // In the order in which they are given up where there are too many; from `word` on never.
-enum class Kind : std::uint8_t { seen = 1, node = 2, word = 3, use = 4, epoch = 5, ended = 6, telling = 7, told = 8, closed = 9, shut = 10 };
-inline constexpr Kind kLastKind = Kind::shut;
-constexpr bool may_be_dropped(Kind k) { return k < Kind::word; }
+enum class Kind : std::uint8_t {
+  server_health = 1,
+  node = 2,
+  server_status = 3,
+  use = 4,
+  epoch = 5,
+  epoch_ended = 6,
+  restore_started = 7,
+  restore_done = 8,
+  incarnation_closed = 9,
+  windows_closed = 10,
+};
+inline constexpr Kind kLastKind = Kind::windows_closed;
+constexpr bool may_be_dropped(Kind k) { return k < Kind::server_status; }
 
 struct Record {
   std::uint64_t number = 0;
-  Kind kind = Kind::seen;
+  Kind kind = Kind::server_health;
   std::string key{}, value{};
   Instant ends{};  // forgotten then; 0: never
   bool same(const Record& r) const { return kind == r.kind && key == r.key && value == r.value && ends == r.ends; }
@@ -117,13 +128,13 @@
   // A record of one's own; one that says what is there already changes nothing.
   void put(Kind kind, const std::string& key, std::string value, Instant ends = {});
   // Fresh records go out at the next call of tick(), whatever the round.
-  void hurry() { hurry_ = true; }
+  void send_soon() { send_soon_ = true; }
 
   Instant due() const;
   // `peers`: names of those that may be spoken to.
   Out tick(Instant now, const std::vector<std::string>& peers);
   // What is fresh of one's own, to twice as many peers as in a round: nobody asks a node that has left.
-  Out last_words(Instant now, std::vector<std::string> peers);
+  Out final_updates(Instant now, std::vector<std::string> peers);
   // All copies, as pages from nothing on: for a successor on this machine.
   std::vector<Message> all_pages() const;
   Out received(Instant now, const std::string& from, const Message& m);
@@ -151,7 +162,7 @@
     return it == origins_.end() ? 0 : it->second.number;
   }
   // At this number the copy had all that its origin had said until then; and the number at which it next will.
-  std::uint64_t whole_at(const Origin& o) const {
+  std::uint64_t complete_at(const Origin& o) const {
     const auto it = origins_.find(o);
     return it == origins_.end() ? 0 : o == self_ ? it->second.number : it->second.whole;
   }
@@ -203,7 +214,7 @@
   std::map<Key, std::set<Origin>> where_{};
   std::size_t records_ = 0;
   std::uint64_t pushed_ = 0;
-  bool hurry_ = false, notes_ = false;
+  bool send_soon_ = false, notes_ = false;
   Changes changes_{};
   Instant next_round_{}, next_repair_{}, paid_{};
   double purse_ = 0;
--- a/src/replica/values.hpp
+++ b/src/replica/values.hpp
@@ -31,23 +31,23 @@
 
 enum class ServerPhase : std::uint8_t { ready = 0, gone = 1, draining = 2 };
 
-struct Word {
+struct ServerStatus {
   std::uint64_t start = 0;     // Unix ms of the server's start; 0: long ago
   std::uint64_t revision = 0;  // of the list that said so
   ServerPhase phase = ServerPhase::ready;
   // The newest start, then the highest revision, then the drain.
-  auto operator<=>(const Word&) const = default;
+  auto operator<=>(const ServerStatus&) const = default;
 };
-inline std::string to_text(const Word& w) {
+inline std::string to_text(const ServerStatus& w) {
   std::string s;
   put_number(s, w.start);
   put_number(s, w.revision);
   s.push_back(static_cast<char>(w.phase));
   return s;
 }
-inline std::optional<Word> word_of(std::string_view s) {
+inline std::optional<ServerStatus> parse_server_status(std::string_view s) {
   if (s.size() != 17 || static_cast<unsigned char>(s[16]) > 2) return std::nullopt;
-  return Word{get_number(s, 0), get_number(s, 8), static_cast<ServerPhase>(s[16])};
+  return ServerStatus{get_number(s, 0), get_number(s, 8), static_cast<ServerPhase>(s[16])};
 }
 
 // ---- Use of a count -----------------------------------------------------------------------------------------
@@ -71,7 +71,7 @@
   }
   return s;
 }
-inline std::vector<Use> uses_of(std::string_view s) {
+inline std::vector<Use> parse_uses(std::string_view s) {
   std::vector<Use> all;
   if (s.size() % 40 != 0) return all;
   for (std::size_t at = 0; at < s.size(); at += 40)
@@ -82,21 +82,21 @@
 // ---- What was seen of a server ------------------------------------------------------------------------------
 
 // Of one start of a server: tenths of the attempts that went well, or that nothing is said of it any more.
-struct Sight {
+struct ServerHealth {
   std::uint64_t start = 0;  // Unix ms; 0: long ago
   std::uint8_t tenths = 10;
-  static constexpr std::uint8_t kNothing = 255;
-  auto operator<=>(const Sight&) const = default;
+  static constexpr std::uint8_t kWithdrawn = 255;
+  auto operator<=>(const ServerHealth&) const = default;
 };
-inline std::string to_text(const Sight& s) {
+inline std::string to_text(const ServerHealth& s) {
   auto text = number_key(s.start);
   text.push_back(static_cast<char>(s.tenths));
   return text;
 }
-inline std::optional<Sight> sight_of(std::string_view s) {
+inline std::optional<ServerHealth> parse_server_health(std::string_view s) {
   if (s.size() != 9) return std::nullopt;
-  const Sight sight{get_number(s, 0), static_cast<std::uint8_t>(s[8])};
-  if (sight.tenths > 10 && sight.tenths != Sight::kNothing) return std::nullopt;
+  const ServerHealth sight{get_number(s, 0), static_cast<std::uint8_t>(s[8])};
+  if (sight.tenths > 10 && sight.tenths != ServerHealth::kWithdrawn) return std::nullopt;
   return sight;
 }
 
--- a/src/replica/words.cpp
+++ b/src/replica/words.cpp
@@ -11,10 +11,10 @@
 
 }  // namespace
 
-std::optional<Word> Words::newest(std::uint32_t id) const {
-  std::optional<Word> best;
-  records_.each(Kind::word, key_of(id), [&](const Origin&, const Record& r) {
-    const auto w = word_of(r.value);
+std::optional<ServerStatus> ServerPhases::newest(std::uint32_t id) const {
+  std::optional<ServerStatus> best;
+  records_.each(Kind::server_status, key_of(id), [&](const Origin&, const Record& r) {
+    const auto w = parse_server_status(r.value);
     if (!w) return;
     if (!best || *w > *best) best = w;
   });
@@ -22,26 +22,26 @@
 }
 
 // One's own list is a word on each server as of its revision.
-bool Words::drained_by_others(std::uint32_t id) const {
+bool ServerPhases::drained_by_others(std::uint32_t id) const {
   const auto it = list_.find(id);
   if (it == list_.end() || it->second.phase != ServerPhase::ready) return false;
   const auto best = newest(id);
   if (!best || best->phase == ServerPhase::ready) return false;
-  return *best > Word{it->second.start, revision_, ServerPhase::ready};
+  return *best > ServerStatus{it->second.start, revision_, ServerPhase::ready};
 }
 
-bool Words::publish(Instant now, std::uint32_t id, const Word& word, std::optional<std::uint64_t> ready_as_of) {
+bool ServerPhases::publish(Instant now, std::uint32_t id, const ServerStatus& word, std::optional<std::uint64_t> ready_as_of) {
   const auto best = newest(id);
   if (best && best->phase != ServerPhase::ready && best->start == word.start &&
       (!ready_as_of || best->revision > *ready_as_of) && best->phase == word.phase)
     return false;  // it is known
   ++figures_.published;
-  records_.put(Kind::word, key_of(id), to_text(word), word.phase == ServerPhase::gone ? now + kGoneKept : Instant{});
+  records_.put(Kind::server_status, key_of(id), to_text(word), word.phase == ServerPhase::gone ? now + kGoneKept : Instant{});
   return true;
 }
 
-std::vector<Words::Told> Words::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<Entry>& entries, bool& fresh) {
-  std::vector<Told> told;
+std::vector<ServerPhases::Override> ServerPhases::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<Entry>& entries, bool& fresh) {
+  std::vector<Override> told;
   fresh = false;
   const auto before = revision_;
   revision_ = revision;  // also a lower one: a list from before says nothing of what came after it
@@ -81,7 +81,7 @@
   return told;
 }
 
-std::vector<Words::Told> Words::heard(const std::string& key) {
+std::vector<ServerPhases::Override> ServerPhases::record_received(const std::string& key) {
   const auto id = static_cast<std::uint32_t>(number_of_key(key));
   if (drained_by_others(id)) {
     if (!held_.insert(id).second) return {};
@@ -91,7 +91,7 @@
   return {};
 }
 
-Words::Figures Words::figures() const {
+ServerPhases::Figures ServerPhases::figures() const {
   auto f = figures_;
   f.held = held_.size();
   return f;
--- a/src/replica/words.hpp
+++ b/src/replica/words.hpp
@@ -14,14 +14,14 @@
 
 namespace docklift::replica {
 
-class Words {
+class ServerPhases {
  public:
   struct Entry {
     std::uint32_t id = 0;
     std::uint64_t start = 0;  // Unix ms; 0: long ago
     ServerPhase phase = ServerPhase::ready;
   };
-  struct Told {
+  struct Override {
     std::uint32_t id = 0;
     bool draining = false;  // else: as one's own list has it
   };
@@ -30,21 +30,21 @@
     std::size_t held = 0;  // servers drained here by others' word alone
   };
 
-  explicit Words(Replica& records) : records_(records) {}
+  explicit ServerPhases(Replica& records) : records_(records) {}
 
   // One's own list, whole or what changed of it. Returns what is to be told otherwise than the list has it. `fresh`: records were
   // written that others wait for.
-  std::vector<Told> listed(Instant now, bool whole, std::uint64_t revision, const std::vector<Entry>& entries, bool& fresh);
+  std::vector<Override> listed(Instant now, bool whole, std::uint64_t revision, const std::vector<Entry>& entries, bool& fresh);
   // A record of another's has come.
-  std::vector<Told> heard(const std::string& key);
+  std::vector<Override> record_received(const std::string& key);
   bool held(std::uint32_t id) const { return held_.contains(id); }
   // The newest word on a server among all records.
-  std::optional<Word> newest(std::uint32_t id) const;
+  std::optional<ServerStatus> newest(std::uint32_t id) const;
   Figures figures() const;
 
  private:
   bool drained_by_others(std::uint32_t id) const;
-  bool publish(Instant now, std::uint32_t id, const Word& word, std::optional<std::uint64_t> ready_as_of);
+  bool publish(Instant now, std::uint32_t id, const ServerStatus& word, std::optional<std::uint64_t> ready_as_of);
 
   Replica& records_;
   std::map<std::uint32_t, Entry> list_{};
--- a/tests/beliefs_test.cpp
+++ b/tests/beliefs_test.cpp
@@ -27,7 +27,7 @@
   const auto known = records.vector();
   const auto it = known.find(o);
   const auto number = it == known.end() ? 0 : it->second;
-  m.pages = {{o, number, number + 1, false, {{number + 1, Kind::seen, number_key(id), to_text(Sight{start, tenths}), {}}}}};
+  m.pages = {{o, number, number + 1, false, {{number + 1, Kind::server_health, number_key(id), to_text(ServerHealth{start, tenths}), {}}}}};
   records.received(kNow, o.name, m);
 }
 
@@ -35,12 +35,12 @@
   Replica records{kSelf, {}, 1};
   Beliefs beliefs{records, {}};
   void meet(std::uint32_t id, int good, int bad, Instant at = kNow, std::uint64_t start = 0) {
-    for (int i = 0; i < good; ++i) beliefs.seen(at, {id, start}, true);
-    for (int i = 0; i < bad; ++i) beliefs.seen(at, {id, start}, false);
+    for (int i = 0; i < good; ++i) beliefs.record_attempt(at, {id, start}, true);
+    for (int i = 0; i < bad; ++i) beliefs.record_attempt(at, {id, start}, false);
   }
-  std::optional<Sight> word(std::uint32_t id) const {
-    const auto* r = records.find(kSelf, Kind::seen, number_key(id));
-    return r ? sight_of(r->value) : std::nullopt;
+  std::optional<ServerHealth> word(std::uint32_t id) const {
+    const auto* r = records.find(kSelf, Kind::server_health, number_key(id));
+    return r ? parse_server_health(r->value) : std::nullopt;
   }
 };
 
@@ -69,14 +69,14 @@
   ASSERT_EQ(n.word(2)->tenths, 0);
   n.meet(2, 20, 0, kNow + 20s), n.meet(1, 20, 0, kNow + 20s);
   EXPECT_TRUE(n.beliefs.write(kNow + 20s));
-  EXPECT_EQ(n.word(2)->tenths, Sight::kNothing);
+  EXPECT_EQ(n.word(2)->tenths, ServerHealth::kWithdrawn);
   n.meet(2, 0, 20, kNow + 40s), n.meet(1, 20, 0, kNow + 40s);
   n.beliefs.write(kNow + 40s);
   ASSERT_LE(n.word(2)->tenths, 1);
   n.beliefs.write(kNow + 50s);  // it is avoided, and the word stands
   EXPECT_LT(n.word(2)->tenths, 8);
   EXPECT_TRUE(n.beliefs.write(kNow + 60s));
-  EXPECT_EQ(n.word(2)->tenths, Sight::kNothing);
+  EXPECT_EQ(n.word(2)->tenths, ServerHealth::kWithdrawn);
 }
 
 TEST(Beliefs, AComplaintIsContradictedByWhoIsServedWell) {
@@ -95,23 +95,23 @@
   n.meet(1, 20, 0), n.meet(2, 0, 20), n.meet(3, 20, 0);
   n.beliefs.write(kNow);
   n.meet(2, 1, 0, kNow, 77);
-  EXPECT_EQ(n.word(2)->tenths, Sight::kNothing);
+  EXPECT_EQ(n.word(2)->tenths, ServerHealth::kWithdrawn);
   say(n.records, origin(0), 2, 0), say(n.records, origin(1), 2, 0);
   const std::vector<Origin> alive{origin(0), origin(1)};
-  EXPECT_EQ(n.beliefs.believed({{2, 0}, {3, 0}}, alive).size(), 1U);
-  EXPECT_TRUE(n.beliefs.believed({{2, 77}, {3, 0}}, alive).empty());
+  EXPECT_EQ(n.beliefs.aggregate({{2, 0}, {3, 0}}, alive).size(), 1U);
+  EXPECT_TRUE(n.beliefs.aggregate({{2, 77}, {3, 0}}, alive).empty());
 }
 
 TEST(Beliefs, OneVoiceAloneIsNotBelievedNorIsTheDeads) {
   Node n;
   const std::vector<Server> servers{{1, 0}, {2, 0}};
   say(n.records, origin(0), 1, 0);
-  EXPECT_TRUE(n.beliefs.believed(servers, {origin(0), origin(1)}).empty());
+  EXPECT_TRUE(n.beliefs.aggregate(servers, {origin(0), origin(1)}).empty());
   say(n.records, origin(1), 1, 2);
-  const auto told = n.beliefs.believed(servers, {origin(0), origin(1)});
+  const auto told = n.beliefs.aggregate(servers, {origin(0), origin(1)});
   ASSERT_EQ(told.size(), 1U);
   EXPECT_DOUBLE_EQ(told[0].success, 0.2);  // of two the better
-  EXPECT_TRUE(n.beliefs.believed(servers, {origin(0)}).empty());
+  EXPECT_TRUE(n.beliefs.aggregate(servers, {origin(0)}).empty());
 }
 
 TEST(Beliefs, HalfOfTheServersAtMostTheWorstFirst) {
@@ -121,7 +121,7 @@
     servers.push_back({id, 0});
     for (std::size_t o = 0; o < 3; ++o) say(n.records, origin(o), id, static_cast<std::uint8_t>(7 - id));
   }
-  const auto told = n.beliefs.believed(servers, {origin(0), origin(1), origin(2)});
+  const auto told = n.beliefs.aggregate(servers, {origin(0), origin(1), origin(2)});
   ASSERT_EQ(told.size(), 3U);
   for (const auto& t : told) EXPECT_GE(t.id, 4U);
 }
@@ -139,7 +139,7 @@
   }
   alive.push_back(origin(99));
   say(n.records, origin(99), 1, lie);
-  const auto told = n.beliefs.believed({{1, 0}, {2, 0}}, alive);
+  const auto told = n.beliefs.aggregate({{1, 0}, {2, 0}}, alive);
   const auto [least, most] = std::ranges::minmax(honest);
   const auto tenths = told.empty() ? 10 : static_cast<int>(std::lround(told[0].success * 10));
   RC_ASSERT(tenths >= int{least});
@@ -158,14 +158,14 @@
     servers.push_back({id, 0});
     for (const auto& o : alive) say(n.records, o, id, *rc::gen::inRange<std::uint8_t>(0, 11));
   }
-  RC_ASSERT(n.beliefs.believed(servers, alive).size() <= servers_n / 2);
+  RC_ASSERT(n.beliefs.aggregate(servers, alive).size() <= servers_n / 2);
 }
 
 TEST(Sights, AreReadAsTheyAreWrittenAndNothingElseIs) {
-  for (const std::uint8_t t : {0, 7, 10, 255}) EXPECT_EQ(sight_of(to_text(Sight{123, t})), (Sight{123, t}));
-  EXPECT_FALSE(sight_of(to_text(Sight{1, 11})));
-  EXPECT_FALSE(sight_of("short"));
-  EXPECT_FALSE(sight_of(to_text(Sight{1, 1}) + "x"));
+  for (const std::uint8_t t : {0, 7, 10, 255}) EXPECT_EQ(parse_server_health(to_text(ServerHealth{123, t})), (ServerHealth{123, t}));
+  EXPECT_FALSE(parse_server_health(to_text(ServerHealth{1, 11})));
+  EXPECT_FALSE(parse_server_health("short"));
+  EXPECT_FALSE(parse_server_health(to_text(ServerHealth{1, 1}) + "x"));
 }
 
 // ---- The module -----------------------------------------------------------------------------------------------
--- a/tests/orderings_test.cpp
+++ b/tests/orderings_test.cpp
@@ -57,7 +57,7 @@
     if (mixed(n, "a", 1) > mixed(n, "b", 1)) return CountName(n);
 }
 
-struct Side : replica::Fellows {
+struct Side : replica::FleetView {
   Side(Origin self, Origin other) : records(self, {}, 1), others{std::move(other)} {}
   std::vector<Origin> alive() const override { return others; }
   bool lost_since(Instant) const override { return others.empty(); }
@@ -80,7 +80,7 @@
     pages(a, b), pages(b, a);
     store = 0;
     a.counts.lost(kNow, {});
-    b.counts.epoch_heard(kNow, 1);
+    b.counts.epoch_received(kNow, 1);
     pages(a, b), pages(b, a);
   }
   static void pages(const Side& from, Side& to) {
@@ -89,7 +89,7 @@
   void carry_out(Side& s, const Counts::Out& out) {
     if (out.lost) shut = true;
     for (const auto& add : out.adds)
-      if (add.telling) telling[&s] = add.amount;
+      if (add.restores) telling[&s] = add.amount;
   }
   Side a{kA, kB}, b{kB, kA};
   CountName name = told_by_a();
@@ -122,7 +122,7 @@
         case a_is_heard:
           if (a_lives) Loss::pages(l.a, l.b);
           break;
-        case a_dies: a_lives = false, l.b.others.clear(), l.b.counts.fellows_changed(); break;
+        case a_dies: a_lives = false, l.b.others.clear(), l.b.counts.members_changed(); break;
         case b_adds: out = !l.b.counts.add(kNow, l.name, 1, 10s).adds.empty(); break;
         case b_is_in:
           if (out) l.store += 1, total_of_b = l.store;
@@ -140,7 +140,7 @@
         }
         case b_ticks:
         case b_ticks_again: {
-          const bool knew = l.b.records.find(kA, Kind::telling, replica::number_key(static_cast<std::uint64_t>(l.name))) != nullptr;
+          const bool knew = l.b.records.find(kA, Kind::restore_started, replica::number_key(static_cast<std::uint64_t>(l.name))) != nullptr;
           l.carry_out(l.b, l.b.counts.tick(kNow + (e == b_ticks ? 1s : 2s)));
           if (const auto it = l.telling.find(&l.b); it != l.telling.end()) {
             if (knew) wrong = "told again although a teller had begun";
--- a/tests/planted_test.cpp
+++ b/tests/planted_test.cpp
@@ -80,7 +80,7 @@
   const auto say = [&](const Origin& o, std::uint8_t tenths) {
     Message m;
     m.kind = Message::Kind::pages;
-    m.pages = {{o, 0, 1, false, {{1, replica::Kind::seen, number_key(1), to_text(Sight{0, tenths}), {}}}}};
+    m.pages = {{o, 0, 1, false, {{1, replica::Kind::server_health, number_key(1), to_text(ServerHealth{0, tenths}), {}}}}};
     records.received(Instant(1), o.name, m);
   };
   std::vector<Origin> alive;
@@ -93,7 +93,7 @@
     if (i > 0) least = std::min(least, tenths), most = std::max(most, tenths);  // the first one lies
   }
   say({"gone", 3}, 0), say({"gone, too", 3}, 0), say({"gone as well", 3}, 0);
-  const auto told = beliefs.believed({{1, 0}, {2, 0}}, alive);
+  const auto told = beliefs.aggregate({{1, 0}, {2, 0}}, alive);
   const auto tenths = told.empty() ? 10 : std::lround(told[0].success * 10);
   if (tenths < least) return {"worse than any honest node says"};
   if (honest > 1 && tenths > most) return {"better than any honest node says"};
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -42,12 +42,12 @@
 
 // Every order of the pages of two origins, the first one twice at the end: whatever came too early is asked for and comes again.
 TEST(Records, EveryOrderOfPagesLeadsToTheSameCopies) {
-  const std::vector<Page> all{{kA, 0, 2, true, {record(1, Kind::word, "s", "1"), record(2, Kind::use, "u", "1")}},
-                              {kA, 2, 3, true, {record(3, Kind::word, "s", "2")}},
+  const std::vector<Page> all{{kA, 0, 2, true, {record(1, Kind::server_status, "s", "1"), record(2, Kind::use, "u", "1")}},
+                              {kA, 2, 3, true, {record(3, Kind::server_status, "s", "2")}},
                               {kA, 3, 5, false, {record(5, Kind::use, "u", "2")}},
-                              {kB, 0, 1, false, {record(1, Kind::word, "s", "9")}},
-                              {kB, 1, 4, false, {record(4, Kind::word, "t", "3")}},
-                              {kA, 0, 5, false, {record(3, Kind::word, "s", "2"), record(5, Kind::use, "u", "2")}}};
+                              {kB, 0, 1, false, {record(1, Kind::server_status, "s", "9")}},
+                              {kB, 1, 4, false, {record(4, Kind::server_status, "t", "3")}},
+                              {kA, 0, 5, false, {record(3, Kind::server_status, "s", "2"), record(5, Kind::use, "u", "2")}}};
   std::vector<std::size_t> order(all.size());
   std::iota(order.begin(), order.end(), 0);
   std::size_t orders = 0;
@@ -60,7 +60,7 @@
     for (const auto i : order) r.received(kNow, "x", pages({all[i]}));
     if (digest == 0) digest = r.digest();
     ASSERT_EQ(r.digest(), digest);
-    ASSERT_EQ(r.find(kA, Kind::word, "s")->value, "2");
+    ASSERT_EQ(r.find(kA, Kind::server_status, "s")->value, "2");
     ASSERT_EQ(r.find(kA, Kind::use, "u")->value, "2");
     ASSERT_EQ(r.vector().at(kA), 5U);
     ASSERT_TRUE(r.conflicts().empty());
@@ -81,21 +81,21 @@
 TEST(Records, ACopyIsWholeOnlyWhereItHoldsWhatWasMovedBehindItsNumber) {
   Replica a(kA, {.page_bytes = 60}, 1), b(kB, {}, 2);
   a.put(Kind::use, "u", "21");
-  a.put(Kind::ended, "", "1");
+  a.put(Kind::epoch_ended, "", "1");
   a.put(Kind::use, "u", "21, and 4 since");
   const auto all = a.all_pages();
   ASSERT_EQ(all.size(), 2U);
   b.received(kNow, "a", all[0]);
-  ASSERT_NE(b.find(kA, Kind::ended, ""), nullptr);
+  ASSERT_NE(b.find(kA, Kind::epoch_ended, ""), nullptr);
   EXPECT_EQ(b.find(kA, Kind::use, "u"), nullptr);
-  EXPECT_EQ(b.whole_at(kA), 0U);
+  EXPECT_EQ(b.complete_at(kA), 0U);
   // Whoever copies from the copy learns as much, and no more.
   Replica c(kC, {}, 3);
   for (const auto& m : b.all_pages()) c.received(kNow, "b", m);
   EXPECT_EQ(c.number_of(kA), 2U);
-  EXPECT_EQ(c.whole_at(kA), 0U);
+  EXPECT_EQ(c.complete_at(kA), 0U);
   b.received(kNow, "a", all[1]);
-  EXPECT_EQ(b.whole_at(kA), 3U);
+  EXPECT_EQ(b.complete_at(kA), 3U);
   EXPECT_EQ(b.find(kA, Kind::use, "u")->value, "21, and 4 since");
 }
 
@@ -168,7 +168,7 @@
   std::vector<std::string> peers;
   for (int i = 0; i < 20; ++i) peers.push_back("n" + std::to_string(i));
   r.put(Kind::node, "", "l");
-  const auto out = r.last_words(kNow, peers);
+  const auto out = r.final_updates(kNow, peers);
   ASSERT_EQ(out.sends.size(), 6U);
   std::set<std::string> to;
   for (const auto& s : out.sends) {
@@ -184,24 +184,24 @@
 TEST(Records, TwoContentsOfOneNumberAreNamedOnceAndTheMoreCarefulIsHeld) {
   for (const bool careful_first : {true, false}) {
     Replica r(kC, {}, 1);
-    const auto drain = replica::to_text(replica::Word{1, 5, replica::ServerPhase::draining});
-    const auto ready = replica::to_text(replica::Word{1, 5, replica::ServerPhase::ready});
-    r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::word, "s", careful_first ? drain : ready)}}}));
+    const auto drain = replica::to_text(replica::ServerStatus{1, 5, replica::ServerPhase::draining});
+    const auto ready = replica::to_text(replica::ServerStatus{1, 5, replica::ServerPhase::ready});
+    r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::server_status, "s", careful_first ? drain : ready)}}}));
     std::size_t named = 0;
     for (int i = 0; i < 3; ++i)
-      named += r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::word, "s", careful_first ? ready : drain)}}})).conflicts.size();
+      named += r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::server_status, "s", careful_first ? ready : drain)}}})).conflicts.size();
     EXPECT_EQ(named, 1U);
-    EXPECT_EQ(r.find(kA, Kind::word, "s")->value, drain);
+    EXPECT_EQ(r.find(kA, Kind::server_status, "s")->value, drain);
   }
 }
 
 TEST(Records, ChangesToldInOnesOwnNameAreNamedAndGoneAbove) {
   Replica r(kC, {}, 1);
-  r.put(Kind::word, "s", "mine");
-  const auto out = r.received(kNow, "x", pages({{kC, 0, 40, false, {record(40, Kind::word, "s", "not mine")}}}));
+  r.put(Kind::server_status, "s", "mine");
+  const auto out = r.received(kNow, "x", pages({{kC, 0, 40, false, {record(40, Kind::server_status, "s", "not mine")}}}));
   EXPECT_EQ(out.conflicts.size(), 1U);
-  EXPECT_EQ(r.find(kC, Kind::word, "s")->value, "mine");
-  EXPECT_GT(r.find(kC, Kind::word, "s")->number, 40U);
+  EXPECT_EQ(r.find(kC, Kind::server_status, "s")->value, "mine");
+  EXPECT_GT(r.find(kC, Kind::server_status, "s")->number, 40U);
 }
 
 TEST(Records, OverTheBoundWhatIsLeastNeededGoesAndNeverADrainOrUse) {
@@ -210,9 +210,9 @@
   Replica r(kC, limits, 1);
   std::vector<Record> all;
   for (std::uint64_t i = 1; i <= 200; ++i)
-    all.push_back(record(i, i % 4 == 0 ? Kind::word : i % 4 == 1 ? Kind::use : Kind::seen, "k" + std::to_string(i), "v"));
+    all.push_back(record(i, i % 4 == 0 ? Kind::server_status : i % 4 == 1 ? Kind::use : Kind::server_health, "k" + std::to_string(i), "v"));
   r.received(kNow, "x", pages({{kA, 0, 200, false, all}}));
-  EXPECT_EQ(r.keys(Kind::word).size(), 50U);
+  EXPECT_EQ(r.keys(Kind::server_status).size(), 50U);
   EXPECT_EQ(r.keys(Kind::use).size(), 50U);
   EXPECT_LE(r.figures().records, 100U);
   EXPECT_GT(r.figures().dropped, 0U);
@@ -224,17 +224,17 @@
   limits.most_of_origin = 50;
   Replica r(kC, limits, 1);
   std::vector<Record> all;
-  for (std::uint64_t i = 1; i <= 60; ++i) all.push_back(record(i, Kind::word, "k" + std::to_string(i), "v"));
+  for (std::uint64_t i = 1; i <= 60; ++i) all.push_back(record(i, Kind::server_status, "k" + std::to_string(i), "v"));
   EXPECT_EQ(r.received(kNow, "x", pages({{kA, 0, 60, false, all}})).conflicts.size(), 1U);
-  r.received(kNow, "x", pages({{kA, 60, 61, false, {record(61, Kind::word, "more", "v")}}}));
-  EXPECT_EQ(r.find(kA, Kind::word, "more"), nullptr);
+  r.received(kNow, "x", pages({{kA, 60, 61, false, {record(61, Kind::server_status, "more", "v")}}}));
+  EXPECT_EQ(r.find(kA, Kind::server_status, "more"), nullptr);
 }
 
 // ---- Words on servers ---------------------------------------------------------------------------------------
 
 struct WordCase {
   const char* what;
-  replica::Word others;
+  replica::ServerStatus others;
   std::uint64_t own_start, own_revision;
   bool drained;
 };
@@ -253,13 +253,13 @@
   for (const auto& c : cases)
     for (const bool list_first : {true, false}) {
       Replica r(kC, {}, 1);
-      replica::Words words(r);
+      replica::ServerPhases words(r);
       bool fresh = false;
       const auto key = replica::number_key(7);
       const auto list = [&] { words.listed(kNow, true, c.own_revision, {{7, c.own_start, ServerPhase::ready}}, fresh); };
       if (list_first) list();
-      r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::word, key, replica::to_text(c.others))}}}));
-      words.heard(key);
+      r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::server_status, key, replica::to_text(c.others))}}}));
+      words.record_received(key);
       if (!list_first) list();
       EXPECT_EQ(words.held(7), c.drained) << c.what << (list_first ? ", list first" : ", word first");
     }
@@ -267,7 +267,7 @@
 
 TEST(Words, AServerThatLeavesTheListIsGoneForThoseWhoseListIsOlder) {
   Replica r(kC, {}, 1);
-  replica::Words words(r);
+  replica::ServerPhases words(r);
   bool fresh = false;
   words.listed(kNow, true, 4, {{7, 1, replica::ServerPhase::ready}, {8, 1, replica::ServerPhase::ready}}, fresh);
   EXPECT_FALSE(fresh);
