--- a/src/replica/beliefs.hpp
+++ b/src/replica/beliefs.hpp
@@ -1,8 +1,8 @@
-// What nodes see of servers, without I/O: each tells of those that serve it clearly worse than the others, contradicts where it is served
-// well, and takes its word back when it has nothing to go by any more. A node that starts is told the median of what the living say.
-// docs/design/beliefs.md has the rule.
+// Peer health reports on servers, without I/O: each node reports the servers that serve it clearly worse than the others, disputes
+// others' reports of servers that serve it well, and withdraws a report once it has no recent attempts to support it. A node that starts
+// gets the median of the live nodes' reports. See docs/design/beliefs.md.
 //
-// Times are nanoseconds of the fleet's clock; only spans of one's own are compared.
+// Times are nanoseconds of the fleet's clock; only durations measured on this node are compared.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,16 @@
 namespace docklift::replica {
 
 struct BeliefLimits {
-  Instant memory{std::chrono::seconds(5)};  // a sighting weighs e^-1 after this
-  double least = 0.5;                       // weight of sightings from which on there is a word: who fails once is avoided at once
-  double prior = 1;                         // sightings of a good end that are taken for granted: old failures fade against it
-  Instant stand{std::chrono::seconds(15)};  // a word stands so long without a sighting: who fails is avoided, and seldom met
-  double ill = 0.8;                         // of the median server's success: below it is told
-  std::size_t most_servers = 4096;
-  Instant kept{std::chrono::minutes(1)};    // a word that was taken back, so that all hear of it
+  Instant decay{std::chrono::seconds(5)};  // an attempt weighs e^-1 after this
+  double min_weight = 0.5;                 // of attempts, for a report: low, so that a single failure is reported at once
+  double prior = 1;                        // assumed successful attempts, against which old failures fade
+  Instant hold{std::chrono::seconds(15)};  // a report holds so long without attempts: a failing server is seldom tried
+  double report_below = 0.8;               // fraction of the median success, below which a server is reported
+  std::size_t max_servers = 4096;
+  Instant keep_withdrawn{std::chrono::minutes(1)};  // so that every node receives the withdrawal
 };
 
+// Collects this node's attempts, publishes its reports and aggregates those of the other nodes.
 class Beliefs {
  public:
   struct Server {
@@ -37,34 +38,35 @@
   };
   struct Figures {
     std::uint64_t said = 0, contradicted = 0, taken_back = 0;
-    std::size_t met = 0, complaints = 0;  // servers; complaints of one's own that stand
+    std::size_t met = 0, complaints = 0;  // servers observed; complaints of this node in force
   };
 
   Beliefs(Replica& records, BeliefLimits limits) : records_(records), limits_(limits) {}
 
-  // An attempt at a server has ended.
+  // Records the outcome of an attempt.
   void record_attempt(Instant now, Server server, bool good);
-  // Words of one's own are brought up to date. True where there are new ones.
+  // Updates this node's reports. True if any changed.
   bool write(Instant now);
-  // What is to be believed of these servers by the words of these origins: half of them at most, the worst ones.
+  // The median success of each server reported by at least two of these origins, for the worst servers, at most half of those given.
   std::vector<Report> aggregate(const std::vector<Server>& servers, const std::vector<Origin>& alive) const;
   Figures figures() const;
 
  private:
-  struct Sightings {
+  // Decayed sums of the attempts at one server.
+  struct Observations {
     std::uint64_t start = 0;
     double good = 0, all = 0;
     Instant at{};
-    std::uint8_t said = ServerHealth::kWithdrawn;
+    std::uint8_t reported = ServerHealth::kWithdrawn;
   };
-  double faded(const Sightings& s, Instant now) const;
-  double success(const Sightings& s, Instant now) const;
+  double decay_factor(const Observations& s, Instant now) const;
+  double success(const Observations& s, Instant now) const;
   bool disputed(std::uint32_t id, std::uint64_t start) const;
-  bool say(Instant now, std::uint32_t id, Sightings& s, std::uint8_t tenths);
+  bool publish(Instant now, std::uint32_t id, Observations& s, std::uint8_t tenths);
 
   Replica& records_;
   BeliefLimits limits_;
-  std::map<std::uint32_t, Sightings> met_{};
+  std::map<std::uint32_t, Observations> observed_{};
   Figures figures_;
 };
 
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -28,7 +28,7 @@
 
 Replica::Replica(Origin self, Limits limits, std::uint64_t seed) : self_(std::move(self)), limits_(limits), random_(seed) {
   origins_[self_];
-  purse_ = limits_.bytes_per_s;
+  budget_ = limits_.bytes_per_s;
 }
 
 void Replica::put(Kind kind, const std::string& key, std::string value, Instant ends) {
@@ -40,11 +40,11 @@
 
 void Replica::store(const Origin& origin, State& s, Record r) {
   const Key key{r.kind, r.key};
-  if (notes_) changes_.records.insert({origin, key}), changes_.origins.insert(origin);
+  if (collects_changes_) changes_.records.insert({origin, key}), changes_.origins.insert(origin);
   const auto [it, fresh] = s.records.try_emplace(key);
   if (fresh) {
     ++records_;
-    where_[key].insert(origin);
+    origins_by_key_[key].insert(origin);
   } else {
     s.by_number.erase(it->second.number);
   }
@@ -55,17 +55,17 @@
 void Replica::forget(const Origin& origin, State& s, const Key& key) {
   const auto it = s.records.find(key);
   if (it == s.records.end()) return;
-  if (notes_) changes_.records.insert({origin, key});
+  if (collects_changes_) changes_.records.insert({origin, key});
   s.by_number.erase(it->second.number);
   s.records.erase(it);
   --records_;
-  const auto w = where_.find(key);
-  if (w != where_.end() && (w->second.erase(origin), w->second.empty())) where_.erase(w);
+  const auto w = origins_by_key_.find(key);
+  if (w != origins_by_key_.end() && (w->second.erase(origin), w->second.empty())) origins_by_key_.erase(w);
 }
 
 void Replica::conflict(const Origin& origin, std::string what, Out& out) {
   auto text = origin.name + ": " + what;
-  if (conflicts_.size() >= kMostConflicts || !named_.insert(std::move(text)).second) return;
+  if (conflicts_.size() >= kMostConflicts || !reported_.insert(std::move(text)).second) return;
   conflicts_.push_back({origin, what});
   out.conflicts.push_back({origin, std::move(what)});
 }
@@ -80,12 +80,12 @@
   if (round) {
     send_soon_ = false;
     next_round_ = now + limits_.round;
-    // What is new here, one's own and what was just taken, goes to a few; they pass it on.
+    // What is new here, this node's records and those just received, goes to a few peers, which pass it on.
     std::vector<Entry> fresh;
     auto& mine = origins_[self_];
     if (mine.number > pushed_) fresh.push_back({self_, pushed_});
     for (auto& [o, s] : origins_)
-      if (std::exchange(s.fresh, false) && o != self_) fresh.push_back({o, s.number});
+      if (std::exchange(s.changed, false) && o != self_) fresh.push_back({o, s.number});
     if (!fresh.empty() && !peers.empty()) {
       auto to = peers;
       random_.shuffle(to);
@@ -95,7 +95,8 @@
         messages = pages_above({fresh.front()}, limits_.pages_for_want);
         pushed_ = mine.number;
       }
-      // Of others' records their numbers: who lacks them asks. Whoever is asked has them.
+      // Of other origins only the numbers are sent: a peer that lacks the records requests them from this
+      // node, which has them.
       Message v{.kind = Message::Kind::vector};
       for (const auto& e : fresh) {
         v.entries.push_back({e.origin, origins_.at(e.origin).number});
@@ -107,7 +108,7 @@
       if (!v.entries.empty()) messages.push_back(std::move(v));
       for (const auto& p : to)
         for (const auto& m : messages)
-          if (pay(now, m)) out.sends.push_back({p, m});
+          if (consume_budget(now, m)) out.sends.push_back({p, m});
     }
   }
   if (now >= next_repair_) {
@@ -124,21 +125,21 @@
   const auto messages = pages_above({{self_, pushed_}}, limits_.pages_for_want);
   for (const auto& p : peers)
     for (const auto& m : messages)
-      if (pay(now, m)) out.sends.push_back({p, m});
+      if (consume_budget(now, m)) out.sends.push_back({p, m});
   return out;
 }
 
-// What is sent in a second is bounded; what finds no room is asked for again.
-bool Replica::pay(Instant now, const Message& m) {
+// Limits the bytes sent per second; peers request again what was not sent.
+bool Replica::consume_budget(Instant now, const Message& m) {
   if (m.kind != Message::Kind::pages) return true;
-  const double passed = std::chrono::duration<double>(now - paid_).count();
-  purse_ = std::min(limits_.bytes_per_s, purse_ + std::max(0.0, passed) * limits_.bytes_per_s);
-  paid_ = now;
+  const double elapsed = std::chrono::duration<double>(now - budget_at_).count();
+  budget_ = std::min(limits_.bytes_per_s, budget_ + std::max(0.0, elapsed) * limits_.bytes_per_s);
+  budget_at_ = now;
   double bytes = 0;
   for (const auto& p : m.pages)
     for (const auto& r : p.records) bytes += static_cast<double>(bytes_of(r));
-  if (purse_ < bytes) return ++figures_.held_back, false;
-  purse_ -= bytes;
+  if (budget_ < bytes) return ++figures_.held_back, false;
+  budget_ -= bytes;
   return true;
 }
 
@@ -148,12 +149,12 @@
   std::vector<std::uint64_t> all(kRanges);
   for (const auto& [o, s] : origins_) {
     if (s.number == 0) continue;
-    all[range_of(o)] ^= mixed(hash_of(o.name, o.life) ^ mixed(s.number));  // the order does not matter
+    all[range_of(o)] ^= mixed(hash_of(o.name, o.life) ^ mixed(s.number));  // independent of the order
   }
   return all;
 }
 
-bool Replica::answer(const Origin& origin, std::uint64_t from, Message& m, std::size_t& bytes) const {
+bool Replica::append_page(const Origin& origin, std::uint64_t from, Message& m, std::size_t& bytes) const {
   const auto it = origins_.find(origin);
   if (it == origins_.end() || it->second.number <= from) return true;
   const auto& s = it->second;
@@ -187,16 +188,16 @@
   for (auto it = from.begin(); it != from.end(); ++it) {
     const auto& e = *it;
     auto at = e.number;
-    while (!answer(e.origin, at, m, bytes)) {
+    while (!append_page(e.origin, at, m, bytes)) {
       const bool last = all.size() + 1 >= most;
       if (!m.pages.empty() && m.pages.back().origin == e.origin) {
         at = m.pages.back().upto;
-        m.pages.back().more = last;  // the others are followed by the next at once: who asked for more after each would be answered manifold
+        m.pages.back().more = last;  // the next page follows at once: a receiver that requested more after each one would get duplicates
       }
       all.push_back(std::exchange(m, {.kind = Message::Kind::pages}));
       bytes = 0;
       if (!last) continue;
-      // Of those there was no room for: that there is more, so that they are asked for with the rest of this one, and not a while later.
+      // For origins that did not fit, empty pages say that there is more, so that they are requested together with the rest and not later.
       auto& pages = all.back().pages;
       if (!pages.empty() && pages.back().origin == e.origin) ++it;
       for (; it != from.end() && pages.size() < limits_.most_entries; ++it)
@@ -209,13 +210,13 @@
   return all;
 }
 
-// ---- What a peer says ---------------------------------------------------------------------------------------
+// ---- Messages from peers ------------------------------------------------------------------------------------
 
 Out Replica::received(Instant now, const std::string& from, const Message& m) {
   Out out;
   std::vector<Entry> wants;
-  const auto lacks = [&](const Entry& e) {
-    if (e.origin == self_) return in_my_name(e.number, nullptr, out);
+  const auto request_if_missing = [&](const Entry& e) {
+    if (e.origin == self_) return handle_own_origin(e.number, nullptr, out);
     auto& s = origins_[e.origin];
     if (s.fenced || e.number <= s.number) return;
     if (s.asked != Instant{} && now - s.asked < limits_.ask_again && now >= s.asked) return;
@@ -229,34 +230,35 @@
       std::uint16_t ranges = 0;
       for (std::size_t i = 0; i < kRanges; ++i)
         if (mine[i] != m.sums[i]) ranges = static_cast<std::uint16_t>(ranges | 1U << i);
-      if (ranges != 0) tell_vector(from, ranges, out);
+      if (ranges != 0) send_vector(from, ranges, out);
       break;
     }
     case Message::Kind::vector: {
-      std::vector<Entry> they_lack;
+      std::vector<Entry> missing_at_peer;
       std::set<Origin> named;
       for (const auto& e : m.entries) {
-        lacks(e);
+        request_if_missing(e);
         named.insert(e.origin);
         const auto it = origins_.find(e.origin);
-        if (it != origins_.end() && it->second.number > e.number) they_lack.push_back(e);
+        if (it != origins_.end() && it->second.number > e.number) missing_at_peer.push_back(e);
       }
       for (const auto& [o, s] : origins_)
-        if ((m.ranges >> range_of(o) & 1U) && s.number > 0 && !named.contains(o)) they_lack.push_back({o, 0});
-      for (auto& p : pages_above(they_lack, limits_.pages_for_want))
-        if (pay(now, p)) out.sends.push_back({from, std::move(p)});
+        if ((m.ranges >> range_of(o) & 1U) && s.number > 0 && !named.contains(o))
+          missing_at_peer.push_back({o, 0});
+      for (auto& p : pages_above(missing_at_peer, limits_.pages_for_want))
+        if (consume_budget(now, p)) out.sends.push_back({from, std::move(p)});
       break;
     }
     case Message::Kind::want:
       if (m.entries.empty()) {
-        tell_vector(from, 0xffff, out);
+        send_vector(from, 0xffff, out);
         break;
       }
       for (auto& p : pages_above(m.entries, limits_.pages_for_want))
-        if (pay(now, p)) out.sends.push_back({from, std::move(p)});
+        if (consume_budget(now, p)) out.sends.push_back({from, std::move(p)});
       break;
     case Message::Kind::pages:
-      for (const auto& p : m.pages) take(now, p, out, wants);
+      for (const auto& p : m.pages) apply_page(now, p, out, wants);
       break;
   }
   while (!wants.empty()) {
@@ -266,12 +268,12 @@
     wants.resize(wants.size() - n);
     out.sends.push_back({from, std::move(w)});
   }
-  make_room();
+  evict();
   return out;
 }
 
-// Ranges that fit one message are told as whole; of a longer vector so much as a want is answered with, in changing order.
-void Replica::tell_vector(const std::string& to, std::uint16_t ranges, Out& out) {
+// Ranges that fit one message are marked as complete; of a longer vector a bounded number of messages is sent, in random order.
+void Replica::send_vector(const std::string& to, std::uint16_t ranges, Out& out) {
   std::vector<Entry> all;
   for (const auto& [o, s] : origins_)
     if (s.number > 0 && (ranges >> range_of(o) & 1U)) all.push_back({o, s.number});
@@ -288,19 +290,19 @@
   } while (!all.empty() && ++sent < 4 * limits_.pages_for_want);
 }
 
-void Replica::take(Instant now, const Page& page, Out& out, std::vector<Entry>& wants) {
-  if (page.origin == self_) return in_my_name(page.upto, &page, out);
+void Replica::apply_page(Instant now, const Page& page, Out& out, std::vector<Entry>& wants) {
+  if (page.origin == self_) return handle_own_origin(page.upto, &page, out);
   auto& s = origins_[page.origin];
   if (s.fenced) return;
-  s.quiet_since = now;
-  if (page.from > s.number && !planted(Plant::gap_passed_over)) {  // what is between is not here: asked for
+  s.last_page_at = now;
+  if (page.from > s.number && !planted(Plant::gap_passed_over)) {  // requests the records in between
     ++figures_.gaps;
-    if (s.asked != Instant{} && now >= s.asked && now - s.asked < limits_.ask_again) return;  // it has been, a moment ago
+    if (s.asked != Instant{} && now >= s.asked && now - s.asked < limits_.ask_again) return;  // already requested
     wants.push_back({page.origin, s.number});
     s.asked = now;
     return;
   }
-  if (page.upto == page.from && page.more) {  // nothing but that there is more
+  if (page.upto == page.from && page.more) {  // an empty page that announces more
     if (page.upto < s.number) return;
     wants.push_back({page.origin, s.number});
     s.asked = now;
@@ -311,7 +313,7 @@
   for (const auto& r : page.records) {
     if (r.key.size() > limits_.most_value || r.value.size() > limits_.most_value) continue;
     if (r.number <= s.number && !planted(Plant::older_copy_wins)) {
-      // Of what is held already: the same number must say the same.
+      // Already held: the same number must have the same content.
       const auto held = s.by_number.find(r.number);
       if (held == s.by_number.end()) continue;
       const auto& mine = s.records.at(held->second);
@@ -319,7 +321,7 @@
       conflict(page.origin, "number " + std::to_string(r.number) + " has two contents, of kinds " +
                                 std::to_string(static_cast<int>(mine.kind)) + " and " + std::to_string(static_cast<int>(r.kind)),
                out);
-      // The larger value is held: use that is not less, a drain that comes last in its encoding (see words.hpp).
+      // The larger value wins: by the encoding (see values.hpp) it is the safer one, the higher use or the draining phase.
       if (mine.kind == r.kind && mine.key == r.key && mine.value < r.value) {
         store(page.origin, s, r);
         out.changed.emplace_back(page.origin, r);
@@ -334,9 +336,9 @@
   if (page.upto > before) s.goal = std::max(s.goal, page.goal);
   s.number = std::max(s.number, page.upto);
   if (s.number >= s.goal || planted(Plant::moved_passed_over)) s.whole = s.number;
-  if (s.number > before) s.fresh = true;
+  if (s.number > before) s.changed = true;
   else ++figures_.pages_late;
-  if (notes_ && s.number > before) changes_.origins.insert(page.origin);
+  if (collects_changes_ && s.number > before) changes_.origins.insert(page.origin);
   if (page.more) {
     wants.push_back({page.origin, s.number});
     s.asked = now;
@@ -353,8 +355,9 @@
   }
 }
 
-// Somebody has changes of mine that I never made: I go on above them, and say all again.
-void Replica::in_my_name(std::uint64_t upto, const Page* page, Out& out) {
+// A peer has changes in this node's name that it did not make: continue above their numbers, and send all
+// records again.
+void Replica::handle_own_origin(std::uint64_t upto, const Page* page, Out& out) {
   auto& s = origins_[self_];
   if (upto <= s.number) {
     if (!page) return;
@@ -377,16 +380,16 @@
   send_soon_ = true;
 }
 
-void Replica::make_room() {
+void Replica::evict() {
   if (records_ <= limits_.most_records) return;
   for (auto& [o, s] : origins_) {
     if (o == self_) continue;
-    std::vector<Key> go;
+    std::vector<Key> removed;
     for (const auto& [k, r] : s.records) {
-      if (!may_be_dropped(k.first)) break;  // they stand first
-      go.push_back(k);
+      if (!may_be_dropped(k.first)) break;  // droppable kinds come first
+      removed.push_back(k);
     }
-    for (const auto& k : go) {
+    for (const auto& k : removed) {
       forget(o, s, k);
       ++figures_.dropped;
       if (records_ <= limits_.most_records * 9 / 10) return;
@@ -394,16 +397,16 @@
   }
 }
 
-void Replica::sweep(Instant now, const std::function<bool(const Origin&)>& lives) {
+void Replica::sweep(Instant now, const std::function<bool(const Origin&)>& is_alive) {
   for (auto it = origins_.begin(); it != origins_.end();) {
     auto& [o, s] = *it;
-    std::vector<Key> go;
+    std::vector<Key> removed;
     for (const auto& [k, r] : s.records)
-      if (r.ends != Instant{} && r.ends <= now) go.push_back(k);
-    for (const auto& k : go) forget(o, s, k);
-    if (s.quiet_since == Instant{}) s.quiet_since = now;
-    const bool empty = o != self_ && s.records.empty() && !lives(o) && now - s.quiet_since > limits_.keep_empty;
-    if (empty && notes_) changes_.origins.insert(o);
+      if (r.ends != Instant{} && r.ends <= now) removed.push_back(k);
+    for (const auto& k : removed) forget(o, s, k);
+    if (s.last_page_at == Instant{}) s.last_page_at = now;
+    const bool empty = o != self_ && s.records.empty() && !is_alive(o) && now - s.last_page_at > limits_.keep_empty;
+    if (empty && collects_changes_) changes_.origins.insert(o);
     it = empty ? origins_.erase(it) : std::next(it);
   }
 }
@@ -412,24 +415,24 @@
 void Replica::lose(const std::string& name) {
   for (auto& [o, s] : origins_) {
     if (o.name != name) continue;
-    std::vector<Key> go;
-    for (const auto& [k, r] : s.records) go.push_back(k);
-    for (const auto& k : go) forget(o, s, k);
+    std::vector<Key> removed;
+    for (const auto& [k, r] : s.records) removed.push_back(k);
+    for (const auto& k : removed) forget(o, s, k);
   }
 }
 #endif
 
-// ---- What is held -------------------------------------------------------------------------------------------
+// ---- Queries ------------------------------------------------------------------------------------------------
 
 void Replica::each(Kind kind, const std::string& key, const std::function<void(const Origin&, const Record&)>& f) const {
-  const auto w = where_.find({kind, key});
-  if (w == where_.end()) return;
+  const auto w = origins_by_key_.find({kind, key});
+  if (w == origins_by_key_.end()) return;
   for (const auto& o : w->second) f(o, origins_.at(o).records.at({kind, key}));
 }
 
 std::vector<std::string> Replica::keys(Kind kind) const {
   std::vector<std::string> all;
-  for (auto it = where_.lower_bound({kind, std::string()}); it != where_.end() && it->first.first == kind; ++it)
+  for (auto it = origins_by_key_.lower_bound({kind, std::string()}); it != origins_by_key_.end() && it->first.first == kind; ++it)
     all.push_back(it->first.second);
   return all;
 }
--- a/src/replica/values.hpp
+++ b/src/replica/values.hpp
@@ -1,5 +1,5 @@
-// What records hold. Fixed widths and big-endian, so that a larger text is the more careful word: a later start, a higher revision, a drain
-// before none, more units.
+// Encoding of record values. Fixed widths and big-endian, so that the larger of two texts is the safer value: a later start, a higher
+// revision, draining over ready, more units.
 #pragma once
 
 #include <bit>
@@ -27,15 +27,17 @@
 }
 inline std::uint64_t number_of_key(std::string_view key) { return key.size() == 8 ? get_number(key, 0) : 0; }
 
-// ---- Words on servers: what a list said ---------------------------------------------------------------------
+// ---- Server status, as a service list has it ----------------------------------------------------------------
 
+// `gone`: removed from the list.
 enum class ServerPhase : std::uint8_t { ready = 0, gone = 1, draining = 2 };
 
+// A server's phase in one revision of a node's list.
 struct ServerStatus {
-  std::uint64_t start = 0;     // Unix ms of the server's start; 0: long ago
-  std::uint64_t revision = 0;  // of the list that said so
+  std::uint64_t start = 0;     // Unix ms of the server's start; 0: not known, long ago
+  std::uint64_t revision = 0;  // of the list
   ServerPhase phase = ServerPhase::ready;
-  // The newest start, then the highest revision, then the drain.
+  // The latest start wins, then the highest revision, then draining.
   auto operator<=>(const ServerStatus&) const = default;
 };
 inline std::string to_text(const ServerStatus& w) {
@@ -52,13 +54,14 @@
 
 // ---- Use of a count -----------------------------------------------------------------------------------------
 
-// Units that one life has added to a count in one epoch of the store, and taken off again, in thousandths, as totals are rounded. Of an add
-// without an answer nobody knows whether it was carried out: there is a most and a least of each.
+// Units that one incarnation has added to a count in one epoch of the store, and removed again, in thousandths, to which totals are
+// rounded. Whether an add without an answer was carried out is not known, so each sum has an upper and a
+// lower bound.
 struct Use {
   std::uint64_t epoch = 0;
-  std::uint64_t taken_most = 0, taken_least = 0, handed_most = 0, handed_least = 0;
-  std::int64_t most() const { return static_cast<std::int64_t>(taken_most) - static_cast<std::int64_t>(handed_least); }
-  std::int64_t least() const { return static_cast<std::int64_t>(taken_least) - static_cast<std::int64_t>(handed_most); }
+  std::uint64_t added_max = 0, added_min = 0, removed_max = 0, removed_min = 0;
+  std::int64_t most() const { return static_cast<std::int64_t>(added_max) - static_cast<std::int64_t>(removed_min); }
+  std::int64_t least() const { return static_cast<std::int64_t>(added_min) - static_cast<std::int64_t>(removed_max); }
 };
 inline std::uint64_t thousandths(double units) { return units <= 0 ? 0 : static_cast<std::uint64_t>(std::llround(units * 1000)); }
 inline double units_of(std::uint64_t thousandths) { return static_cast<double>(thousandths) / 1000; }
@@ -67,7 +70,7 @@
   std::string s;
   for (const auto& u : all) {
     put_number(s, u.epoch);
-    for (const auto n : {u.taken_most, u.taken_least, u.handed_most, u.handed_least}) put_number(s, n);
+    for (const auto n : {u.added_max, u.added_min, u.removed_max, u.removed_min}) put_number(s, n);
   }
   return s;
 }
@@ -79,11 +82,11 @@
   return all;
 }
 
-// ---- What was seen of a server ------------------------------------------------------------------------------
+// ---- Server health ------------------------------------------------------------------------------------------
 
-// Of one start of a server: tenths of the attempts that went well, or that nothing is said of it any more.
+// A node's report on one start of a server: tenths of the attempts that succeeded, or kWithdrawn.
 struct ServerHealth {
-  std::uint64_t start = 0;  // Unix ms; 0: long ago
+  std::uint64_t start = 0;  // Unix ms; 0: not known, long ago
   std::uint8_t tenths = 10;
   static constexpr std::uint8_t kWithdrawn = 255;
   auto operator<=>(const ServerHealth&) const = default;
@@ -95,12 +98,12 @@
 }
 inline std::optional<ServerHealth> parse_server_health(std::string_view s) {
   if (s.size() != 9) return std::nullopt;
-  const ServerHealth sight{get_number(s, 0), static_cast<std::uint8_t>(s[8])};
-  if (sight.tenths > 10 && sight.tenths != ServerHealth::kWithdrawn) return std::nullopt;
-  return sight;
+  const ServerHealth health{get_number(s, 0), static_cast<std::uint8_t>(s[8])};
+  if (health.tenths > 10 && health.tenths != ServerHealth::kWithdrawn) return std::nullopt;
+  return health;
 }
 
-// An epoch and an amount, or an epoch alone.
+// An epoch and an amount.
 inline std::string to_text(std::uint64_t epoch, std::uint64_t amount) { return number_key(epoch) + number_key(amount); }
 
 }  // namespace docklift::replica
--- a/src/replica/words.cpp
+++ b/src/replica/words.cpp
@@ -5,7 +5,7 @@
 namespace docklift::replica {
 namespace {
 
-constexpr Instant kGoneKept = std::chrono::hours(24);  // a list that is older still is no list to go by
+constexpr Instant kKeepRemoved = std::chrono::hours(24);  // a list that is older than this is not used
 
 std::string key_of(std::uint32_t id) { return number_key(id); }
 
@@ -21,7 +21,7 @@
   return best;
 }
 
-// One's own list is a word on each server as of its revision.
+// This node's list counts as a status of each server, at the list's revision.
 bool ServerPhases::drained_by_others(std::uint32_t id) const {
   const auto it = list_.find(id);
   if (it == list_.end() || it->second.phase != ServerPhase::ready) return false;
@@ -30,21 +30,21 @@
   return *best > ServerStatus{it->second.start, revision_, ServerPhase::ready};
 }
 
-bool ServerPhases::publish(Instant now, std::uint32_t id, const ServerStatus& word, std::optional<std::uint64_t> ready_as_of) {
+bool ServerPhases::publish(Instant now, std::uint32_t id, const ServerStatus& status, std::optional<std::uint64_t> ready_as_of) {
   const auto best = newest(id);
-  if (best && best->phase != ServerPhase::ready && best->start == word.start &&
-      (!ready_as_of || best->revision > *ready_as_of) && best->phase == word.phase)
-    return false;  // it is known
+  if (best && best->phase != ServerPhase::ready && best->start == status.start &&
+      (!ready_as_of || best->revision > *ready_as_of) && best->phase == status.phase)
+    return false;  // already published
   ++figures_.published;
-  records_.put(Kind::server_status, key_of(id), to_text(word), word.phase == ServerPhase::gone ? now + kGoneKept : Instant{});
+  records_.put(Kind::server_status, key_of(id), to_text(status), status.phase == ServerPhase::gone ? now + kKeepRemoved : Instant{});
   return true;
 }
 
 std::vector<ServerPhases::Override> ServerPhases::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<Entry>& entries, bool& fresh) {
-  std::vector<Override> told;
+  std::vector<Override> overrides;
   fresh = false;
   const auto before = revision_;
-  revision_ = revision;  // also a lower one: a list from before says nothing of what came after it
+  revision_ = revision;  // may be lower: an older list has no information on later changes
   if (whole) {
     for (auto& [id, e] : list_) {
       if (std::ranges::any_of(entries, [&, i = id](const Entry& n) { return n.id == i; })) continue;
@@ -66,19 +66,20 @@
       list_[e.id] = e;
     }
   }
-  // What others say of servers that this list calls ready; and what they said that this list has overtaken.
+  // Applies others' records on servers that this list shows as ready, and drops overrides that this list
+  // supersedes.
   for (const auto& [id, e] : list_) {
     const bool named = std::ranges::any_of(entries, [&, i = id](const Entry& n) { return n.id == i; });
     if (drained_by_others(id) && !planted(Plant::drain_undone)) {
       const bool is_new = held_.insert(id).second;
-      if (is_new || named) told.push_back({id, true});
+      if (is_new || named) overrides.push_back({id, true});
     } else if (held_.erase(id) > 0) {
       ++figures_.undone;
-      if (!named) told.push_back({id, false});
+      if (!named) overrides.push_back({id, false});
     }
   }
   std::erase_if(held_, [&](std::uint32_t id) { return !list_.contains(id); });
-  return told;
+  return overrides;
 }
 
 std::vector<ServerPhases::Override> ServerPhases::record_received(const std::string& key) {
