--- a/src/recovery/keeper.hpp
+++ b/src/recovery/keeper.hpp
@@ -1,5 +1,5 @@
-// The journal of a node on a real disk: a thin layer. Changes come in on the event loop, a thread of its own carries commits out, and what is on the disk
-// is told on the loop again. The loop never waits for the disk but at a planned end.
+// Runs a node's journal on a real disk. Changes are submitted on the event loop, a separate thread carries out the commits, and the owner is notified
+// on the loop of what has become durable. The loop waits for the disk only at a planned shutdown.
 #pragma once
 
 #include <condition_variable>
@@ -18,41 +18,43 @@
 
 struct JournalWriterOptions {
   std::filesystem::path folder{};
-  std::string node{};  // whose records they are
+  std::string node{};  // the node whose journal this is
   journal::Limits journal{};
 };
 
+// Owns the lock on the journal's folder and the thread that writes to it.
 class JournalWriter {
  public:
   struct Owner {
-    std::function<void(const journal::Recovered&)> found{};  // once; what follows is put() by then
-    std::function<void(std::uint64_t number)> durable{};     // of put(): all until then
-    std::function<void()> fails{};                           // nothing new is durable; told each time that it begins
+    std::function<void(const journal::Recovered&)> found{};  // called once, when put() may be called
+    std::function<void(std::uint64_t number)> durable{};     // all changes up to this put()
+    std::function<void()> fails{};                           // writes fail from now on; called at each transition into this state
   };
 
-  // `timers` has to outlive it.
-  JournalWriter(snowknot::asio::io_context& io, snowknot::Timers& timers, JournalWriterOptions options, Owner owner);
+  // `timers` must outlive the writer.
+  JournalWriter(snowknot::asio::io_context& io, snowknot::Timers& timers, JournalWriterOptions options,
+                Owner owner);
   ~JournalWriter();  // as close()
   JournalWriter(const JournalWriter&) = delete;
   JournalWriter& operator=(const JournalWriter&) = delete;
 
-  // Reads the disk, once no other process has it: a predecessor that hands over, say.
+  // Reads the disk once no other process holds the lock, such as a predecessor that is handing over.
   void open();
   bool opened() const { return opened_; }
   void put(std::uint64_t number, const std::vector<Change>& changes);
-  // What was put is written, waited for, and the folder is free for another process. Nothing is told any more.
+  // Writes all pending changes, waits for them and releases the folder to other processes. The owner is not called any more.
   void close();
   journal::Journal::Figures figures() const { return journal_.figures(); }
 
  private:
   journal::Instant now() const { return timers_.now().time_since_epoch(); }
-  void lock_again();
+  void acquire_lock();
   void fail();
   void commit(std::optional<journal::Commit> c);
   void done(std::uint64_t id, bool ok);
-  void tell();
-  void arm();
-  void work();
+  void notify_durable();
+  void arm_timer();
+  void run_commits();
 
   snowknot::asio::io_context& io_;
   snowknot::Timers& timers_;
@@ -61,10 +63,10 @@
   journal::Journal journal_;
   int lock_ = -1;
   bool opened_ = false, closed_ = false, broken_ = false;
-  std::deque<std::pair<std::uint64_t, std::uint64_t>> waiting_{};  // the journal's number, and that of put()
+  std::deque<std::pair<std::uint64_t, std::uint64_t>> pending_{};  // journal's number, that of put()
   snowknot::Timers::Handle timer_{};
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  // Shared with the thread
+  // Shared with the thread.
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<journal::Commit> commits_{};
--- a/src/recovery/memory.cpp
+++ b/src/recovery/memory.cpp
@@ -25,7 +25,7 @@
   put_number(key, o.name.size());
   return key + o.name;
 }
-// The origin that a key names, and where what follows it begins.
+// The origin in a key, and the offset after it.
 std::optional<std::pair<Origin, std::size_t>> origin_of(const std::string& key) {
   constexpr std::size_t kName = 17;
   if (key.size() < kName) return std::nullopt;
@@ -37,17 +37,17 @@
   const auto it = state.find(key);
   return it == state.end() ? 0 : replica::number_of_key(it->second);
 }
-bool is_kept(Kind k) { return k != Kind::server_health; }
+bool is_journaled(Kind k) { return k != Kind::server_health; }
 
 }  // namespace
 
 std::vector<Change> changes_of(replica::Replica& records) {
   std::vector<Change> all;
   auto changes = records.take_changes();
-  // In the order of numbers: of a commit that is torn the beginning is left.
+  // Ordered by number, as a torn commit leaves a prefix.
   std::vector<std::tuple<std::uint64_t, Origin, std::pair<Kind, std::string>>> order;
   for (const auto& [origin, key] : changes.records) {
-    if (!is_kept(key.first)) continue;
+    if (!is_journaled(key.first)) continue;
     const auto* r = records.find(origin, key.first, key.second);
     order.emplace_back(r ? r->number : 0, origin, key);
   }
@@ -97,24 +97,25 @@
     if (kind == 0 || kind > static_cast<unsigned char>(replica::kLastKind)) continue;
     Record record{get_number(value, 0), static_cast<Kind>(kind), key.substr(at + 1), value.substr(16),
                   Instant(static_cast<std::int64_t>(get_number(value, 8)))};
-    // An origin's number comes behind its records: one that is lost has cost their number only.
+    // An origin's number is written after its records. If it was lost, only the number is missing, not the
+    // records.
     if (origin.name == name) page.upto = std::max(page.upto, record.number);
     if (record.kind == Kind::epoch) r.epoch = std::max(r.epoch, replica::number_of_key(record.value));
     if (record.kind == Kind::server_status && r.damaged) r.words.push_back(record);
     page.records.push_back(std::move(record));
   }
   for (auto& [origin, page] : pages) {
-    const bool mine = origin.name == name;
+    const bool own = origin.name == name;
     std::ranges::sort(page.records, {}, &Record::number);
-    if (mine) page.goal = page.upto;  // it was its only writer
-    if (mine) {
+    if (own) page.goal = page.upto;  // this node was the only writer
+    if (own) {
       const auto state = std::ranges::find(page.records, Kind::node, &Record::kind);
       const bool left = state != page.records.end() && !state->value.empty() && state->value[0] == 'l';
       r.former.push_back({origin.life, page.upto, left});
     }
-    // Where something in the middle is missing, another's copy that seems whole would never be asked for again.
-    if (r.damaged && !mine) continue;
-    // What is above the number that is known to be whole waits for the page that joins on.
+    // If records in the middle are missing, a copy of another origin would look complete and never be requested again.
+    if (r.damaged && !own) continue;
+    // Records above the number known to be complete are dropped; peers send them again.
     std::erase_if(page.records, [&](const Record& x) { return x.number > page.upto; });
     if (page.upto > 0) r.pages.push_back(std::move(page));
   }
--- a/src/recovery/memory.hpp
+++ b/src/recovery/memory.hpp
@@ -1,5 +1,5 @@
-// What a node writes down of the fleet's records, and what it makes of that after a loss of power, without I/O: journal keys and values on one side,
-// records of lives on the other. docs/design/recovery.md has what is trusted.
+// Maps the fleet's records to journal keys and values, and restores them after a loss of power, without I/O. See docs/design/recovery.md for which
+// of the restored data is trusted.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +15,38 @@
 
 using Instant = replica::Instant;
 
-// A key of the journal, and its new value; none: the key goes.
+// A journal key and its new value; none: the key is erased.
 using Change = std::pair<std::string, std::optional<std::string>>;
 
-// What has changed in the records since the last call, in an order in which each beginning of it can be believed: an origin's number comes
-// behind the records up to it. What may be dropped anyway is not written down, but the states of nodes.
+// The changes of the records since the last call, in an order of which every prefix is consistent: an origin's number comes after the
+// records up to it. Kinds that may be dropped are not written, except the states of nodes.
 std::vector<Change> changes_of(replica::Replica& records);
 
-// One's own: the number of a start, before it is used; the life of the longest-lived count; the largest amount of one call (thousandths).
+// This node's own values: the number of a start, before it is used; the longest lifetime of a count; the largest amount of a call (thousandths).
 Change start_of(std::uint64_t start);
 Change longest_count(Instant lifetime);
 Change largest_add(std::uint64_t thousandths);
 
+// An earlier incarnation of this node.
 struct PriorIncarnation {
-  std::uint64_t life = 0, number = 0;  // of a start of this name, and of its last change that is known
-  bool left = false;                   // it has said its last word
+  std::uint64_t life = 0, number = 0;  // the start's number, and that of its last known change
+  bool left = false;                   // it has left the fleet in a planned way
 };
 
+// What was found on the disk.
 struct RestoredState {
-  std::uint64_t start = 0;               // the highest that this name has used; 0: none is known
-  std::vector<replica::Page> pages{};    // copies of all lives
-  std::vector<replica::Record> words{};  // of a damaged disk: drains, whoever said so
-  std::vector<PriorIncarnation> former{};          // lives of this name
+  std::uint64_t start = 0;               // the highest start number this name has used; 0: none known
+  std::vector<replica::Page> pages{};    // copies of all incarnations
+  std::vector<replica::Record> words{};  // from a damaged disk: drains, of any origin
+  std::vector<PriorIncarnation> former{};          // earlier incarnations of this name
   std::uint64_t epoch = 0;
-  Instant longest{};                     // life of a count; 0: not known
-  std::uint64_t largest = 0;             // amount of one call, thousandths
-  bool damaged = false;                  // records in the middle are missing: copies of others are not believed to be whole
+  Instant longest{};                     // lifetime of a count; 0: not known
+  std::uint64_t largest = 0;             // largest amount of a call, thousandths
+  bool damaged = false;                  // records in the middle are missing: copies of other origins are not considered complete
   bool empty() const { return start == 0 && pages.empty(); }
 };
 
-// Of the disk of `name`. The journal has passed over what is not its own.
+// Restores the state of node `name`. The journal has skipped records that are not this node's.
 RestoredState restore_state(const journal::Recovered& found, const std::string& name);
 
 }  // namespace docklift::recovery
--- a/src/recovery/stages.cpp
+++ b/src/recovery/stages.cpp
@@ -30,7 +30,8 @@
   }
   if (stage_ == Stage::joining) {
     const bool late = now - began_ >= limits_.join;
-    // The number of a start is never used twice: nothing is begun on one that could be forgotten, as long as the disk may still take it.
+    // The number of a start must never be used twice, so service does not begin on one that a power loss could erase, while the disk may
+    // still store it.
     if (!known.durable && !late) return waits_for_ = "its start to be on the disk", std::nullopt;
     if (!known.caught_up && !late) return waits_for_ = "copies of two others", std::nullopt;
     enter(now, Stage::unmetered);
@@ -42,12 +43,12 @@
     return Release{shut, std::move(why)};
   };
   if (planted(Plant::released_at_once)) return full({}, "");
-  if (known.caught_up && known.nothing_lost) return full({}, "nobody was lost");
-  if (known.caught_up && known.all_accounted_for) return full({}, "all that were lost are back, with all that they passed");
-  if (known.caught_up && known.other_serves) return full({}, "another node serves that knows");
+  if (known.caught_up && known.nothing_lost) return full({}, "no node failed");
+  if (known.caught_up && known.all_accounted_for) return full({}, "all failed nodes are back, with all that they had admitted");
+  if (known.caught_up && known.other_serves) return full({}, "another node that knows the counts is serving");
   if (now - entered_ < limits_.verify) return waits_for_ = known.caught_up ? "lives that are over without a last word" : "copies of two others", std::nullopt;
   if (planted(Plant::time_shuts_nothing)) return full({}, "");
-  return full(now + limits_.clocks, "what the lost have passed is not known in time: windows that had begun stay shut");
+  return full(now + limits_.clocks, "what the failed nodes had admitted is not known in time: windows that had begun stay closed");
 }
 
 std::optional<Instant> Stages::due() const {
--- a/src/recovery/state_command.cpp
+++ b/src/recovery/state_command.cpp
@@ -11,9 +11,9 @@
 namespace docklift::recovery {
 namespace {
 
-constexpr int kNoInput = 66;
+constexpr int kNoInput = 66;  // EX_NOINPUT
 
-// The first record of a file names its node, but is salted with it: the bytes are looked at as they lie there.
+// The first record of a file names its node, but its checksum is salted with that name: the bytes are read without verifying them.
 std::string node_of(const std::map<std::string, std::string>& files) {
   constexpr std::size_t kKeyLength = journal::kHead + 1;
   for (auto it = files.rbegin(); it != files.rend(); ++it) {
@@ -47,14 +47,14 @@
 int state_command(const std::string& folder, const std::string& node, bool as_json, bool verify) {
   using nlohmann::json;
   const auto files = journal::read_files(folder);
-  const auto whose = node.empty() ? node_of(files) : node;
-  const auto found = journal::recover(files, whose);
+  const auto name = node.empty() ? node_of(files) : node;
+  const auto found = journal::recover(files, name);
   if (found.read == 0) {
-    std::cerr << folder << ": no journal" << (whose.empty() ? "" : " of node " + whose) << " can be read here\n";
+    std::cerr << folder << ": no journal" << (name.empty() ? "" : " of node " + name) << " can be read here\n";
     for (const auto& d : found.damage) std::cerr << folder << '/' << d.file << " at " << d.offset << ": " << d.what << '\n';
     return kNoInput;
   }
-  const auto r = restore_state(found, whose);
+  const auto r = restore_state(found, name);
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   json damage = json::array(), lives = json::array(), kinds = json::object();
   for (const auto& d : found.damage) damage.push_back({{"file", d.file}, {"offset", d.offset}, {"what", d.what}});
@@ -71,17 +71,17 @@
   }
   json former = json::array();
   for (const auto& f : r.former) former.push_back({{"life", f.life}, {"number", f.number}, {"left", f.left}});
-  const json all{{"node", whose}, {"file", journal::file_name(found.read)}, {"last_record", found.number}, {"start", r.start}, {"epoch", r.epoch},
+  const json all{{"node", name}, {"file", journal::file_name(found.read)}, {"last_record", found.number}, {"start", r.start}, {"epoch", r.epoch},
                  {"longest_count_ms", r.longest.count() / 1'000'000}, {"open_counts", open}, {"lives", lives}, {"own_lives", former},
                  {"records", kinds}, {"missing", found.missing}, {"older_file", found.older}, {"damage", damage}};
   if (as_json) {
     std::cout << all.dump(2) << '\n';
   } else {
-    std::cout << "node     " << whose << ", last start " << r.start << ", epoch " << r.epoch << '\n'
+    std::cout << "node     " << name << ", last start " << r.start << ", epoch " << r.epoch << '\n'
               << "file     " << journal::file_name(found.read) << ", last record " << found.number << (found.older ? "; a NEWER one is not whole" : "") << '\n';
-    std::size_t unsaid = 0;
-    for (const auto& f : r.former) unsaid += f.left ? 0 : 1;
-    std::cout << "lives    " << r.pages.size() << ", of this name " << r.former.size() << ", " << unsaid << " of them without a last word\n"
+    std::size_t not_left = 0;
+    for (const auto& f : r.former) not_left += f.left ? 0 : 1;
+    std::cout << "lives    " << r.pages.size() << ", of this name " << r.former.size() << ", " << not_left << " of them without a last word\n"
               << "records  " << drains << " words on servers, " << open << " uses of counts that are open\n";
     if (found.missing > 0) std::cout << "MISSING  " << found.missing << " records in the middle\n";
     for (const auto& d : found.damage) std::cout << "DAMAGE   " << d.file << " at " << d.offset << ": " << d.what << '\n';
