--- a/src/journal/disk.hpp
+++ b/src/journal/disk.hpp
@@ -1,4 +1,4 @@
-// Commits carried out on real files: POSIX calls that wait, for a thread of their own and not for an event loop.
+// Carries out commits on real files with blocking POSIX calls, for use on a separate thread rather than an event loop.
 #pragma once
 
 #include <filesystem>
@@ -9,10 +9,10 @@
 
 namespace docklift::journal {
 
-// As Commit says. False if any of it failed; how far it came is not known then.
+// Performs the steps of the commit. False if one failed; which steps have taken effect is then not known.
 bool perform(const std::filesystem::path& folder, const Commit& commit);
 
-// The journal's files in a folder, by name. One that can't be read is empty here, which recover() names.
+// The journal's files in a folder, by name. An unreadable file is returned as empty.
 std::map<std::string, std::string> read_files(const std::filesystem::path& folder);
 
 }  // namespace docklift::journal
--- a/src/journal/format.cpp
+++ b/src/journal/format.cpp
@@ -21,11 +21,11 @@
   for (unsigned i = 0; i < bytes; ++i) n = n << 8U | static_cast<unsigned char>(in[at + i]);
   return n;
 }
-// Of the number and what follows the head.
+// Covers the number and the bytes after the head.
 std::uint64_t checksum(std::uint64_t number, std::string_view body, std::uint64_t salt) {
   return XXH3_64bits_withSeed(body.data(), body.size(), salt ^ number * 0x9e3779b97f4a7c15ULL);
 }
-constexpr std::size_t kBodyLeast = 3;  // kind, length of the key
+constexpr std::size_t kMinBody = 3;  // kind, length of the key
 
 }  // namespace
 
@@ -47,19 +47,19 @@
 }
 
 std::optional<std::pair<Record, std::size_t>> record_at(std::string_view bytes, std::size_t at, std::uint64_t salt) {
-  if (at > bytes.size() || bytes.size() - at < kHead + kBodyLeast || bytes.substr(at, 4) != kMagic) return std::nullopt;
+  if (at > bytes.size() || bytes.size() - at < kHead + kMinBody || bytes.substr(at, 4) != kMagic) return std::nullopt;
   const auto size = get(bytes, at + 4, 4);
-  if (size < kBodyLeast || size > kMostValue + 65'535 + kBodyLeast || size > bytes.size() - at - kHead) return std::nullopt;
+  if (size < kMinBody || size > kMostValue + 65'535 + kMinBody || size > bytes.size() - at - kHead) return std::nullopt;
   Record r;
   r.number = get(bytes, at + 8, 8);
   const auto body = bytes.substr(at + kHead, size);
   if (checksum(r.number, body, salt) != get(bytes, at + 16, 8)) return std::nullopt;
   const auto kind = static_cast<unsigned char>(body[0]);
   const auto key = get(body, 1, 2);
-  if (kind < 1 || kind > 4 || key > body.size() - kBodyLeast) return std::nullopt;
+  if (kind < 1 || kind > 4 || key > body.size() - kMinBody) return std::nullopt;
   r.kind = static_cast<Kind>(kind);
-  r.key = body.substr(kBodyLeast, key);
-  r.value = body.substr(kBodyLeast + key);
+  r.key = body.substr(kMinBody, key);
+  r.value = body.substr(kMinBody + key);
   return std::pair(std::move(r), at + kHead + size);
 }
 
@@ -67,28 +67,28 @@
   Scan s;
   const auto salt = salt_of(node, generation);
   std::size_t at = 0;
-  bool sound = true;  // no record is missing so far
+  bool intact = true;  // no record is missing so far
   while (at < bytes.size()) {
     if (auto found = record_at(bytes, at, salt)) {
       auto& r = found->first;
       const auto last = s.records.empty() ? 0 : s.records.back().number;
       if (s.records.empty() ? r.kind != Kind::header : r.number <= last) {
         s.damage.push_back({name, at, "a record that does not belong here"});
-        sound = false;
+        intact = false;
       } else {
-        if (!s.records.empty() && r.number != last + 1) s.missing += r.number - last - 1, sound = false;
-        s.whole = s.whole || (sound && r.kind == Kind::end_of_snapshot);
+        if (!s.records.empty() && r.number != last + 1) s.missing += r.number - last - 1, intact = false;
+        s.whole = s.whole || (intact && r.kind == Kind::end_of_snapshot);
         s.records.push_back(std::move(r));
       }
       at = s.good = found->second;
       continue;
     }
-    // Whatever is next: with nothing whole behind it, it is a tail that was being written.
+    // Searches for the next valid record. If there is none, the rest is a torn tail of an unfinished write.
     auto next = bytes.find(kMagic, at + 1);
     while (next != std::string_view::npos && !record_at(bytes, next, salt)) next = bytes.find(kMagic, next + 1);
     if (next == std::string_view::npos) break;
     s.damage.push_back({name, at, std::to_string(next - at) + " bytes that are no record"});
-    sound = false;
+    intact = false;
     at = next;
   }
   return s;
@@ -121,7 +121,7 @@
     r.files.push_back(*g);
     scans.emplace(*g, scan(name, bytes, node, *g));
   }
-  // From the newest one whose snapshot is whole; of those behind it, whose snapshots were being written, what there is.
+  // Reads the newest file with a complete snapshot, and applies the records of newer files, whose snapshots were not finished.
   std::vector<Scan*> from;
   for (auto& [g, s] : scans) {
     from.push_back(&s);
