--- a/src/store/count_store.hpp
+++ b/src/store/count_store.hpp
@@ -1,5 +1,6 @@
-// Where the shared counts are kept. AddToCount is the module's only word to it, CountAnswer the only answer; the
-// platform's counter (src/node/counter.*) is one store, Redis (src/redis) another.
+// The interface of the stores that hold the shared counts. AddToCount is the decision module's only request,
+// CountAnswer the only response; the platform's counter (src/node/counter.*) is one store, Redis (src/redis)
+// another.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,22 +12,23 @@
 
 namespace snowknot {
 
+// A store of shared counts.
 class CountStore {
  public:
   using Told = std::function<void(const CountAnswer&)>;
-  using Lost = std::function<void(const CountsLost&)>;  // for a store that can see that
+  using Lost = std::function<void(const CountsLost&)>;  // for a store that can detect it
 
   virtual ~CountStore() = default;
-  // Adds to a count, whose name lives for `lifetime` from its first call on. Exactly one CountAnswer comes of each
-  // call, within the store's time-out, also from within this function. Calls of one name are carried out in order.
+  // Adds to a count, which expires `lifetime` after its first call. Each call gets exactly one CountAnswer within the
+  // store's timeout, possibly from within this function. Calls of one name are carried out in order.
   virtual void add(CountName name, double amount, Duration lifetime) = 0;
-  // Each connection has come up, or has failed once.
+  // True once each connection has been established or has failed.
   virtual bool tried() const = 0;
-  // The store is at another address from now on; one that is configured elsewhere passes it over.
+  // The store has moved to another address; ignored by a store whose address is configured elsewhere.
   virtual void move_to(const Tcp::endpoint&) {}
 };
 
-// Makes the store of a node that has another than the platform's counter. The settings' time-out for a call is given.
+// Creates the store of a node that does not use the platform's counter. The duration is the timeout of a call.
 using StoreFactory = std::function<std::unique_ptr<CountStore>(asio::io_context&, Timers&, Duration,
                                                                CountStore::Told, CountStore::Lost)>;
 
--- a/src/store/cut_over.cpp
+++ b/src/store/cut_over.cpp
@@ -45,29 +45,29 @@
               std::chrono::seconds(part[5]) + fraction);
 }
 
-void CutOver::word_of_switch(Time now, Out& out) {
+void CutOver::report_switch(Time now, Out& out) {
   if (!decides_after(now) || std::exchange(switched_, true)) return;
-  // What this node, or the one before it in its place, has passed without the new store's knowledge lies in windows that
-  // began before.
-  std::optional<Time> since = spoilt_;
+  // What this node or its predecessor has admitted without the new store's knowledge lies in windows that began
+  // before.
+  std::optional<Time> since = incomplete_until_;
   if (start_ > at_ - overlap_ && start_ < at_ && (!since || *since < start_)) since = start_;
   for (const auto& [name, b] : after_)
-    if (b.lacks != 0 || b.doubt) since = std::max(since.value_or(now), now);
+    if (b.missing != 0 || b.uncertain) since = std::max(since.value_or(now), now);
   if (since) out.lost = snowknot::CountsLost{*since};
 }
 
 CutOver::Out CutOver::add(Time now, snowknot::CountName name, double amount, Duration lifetime) {
   Out out;
   sweep(now);
-  word_of_switch(now, out);
+  report_switch(now, out);
   const bool after_decides = decides_after(now);
   for (const auto side : {Side::before, Side::after}) {
     const bool deciding = (side == Side::after) == after_decides;
     if (!deciding && !both(now)) continue;
-    auto& b = books(side)[name];
+    auto& b = ledgers(side)[name];
     b.until = std::max(b.until, now + lifetime);
-    // What a store refused while it did not decide is made up for by the next call that it does not decide.
-    const double all = amount + (deciding ? 0 : std::exchange(b.lacks, 0));
+    // Amounts the non-deciding store refused are added with the next call that it does not decide.
+    const double all = amount + (deciding ? 0 : std::exchange(b.missing, 0));
     b.out.push_back({deciding, all});
     out.adds.push_back({side, name, all, lifetime});
   }
@@ -76,8 +76,8 @@
 
 CutOver::Out CutOver::answered(Time now, Side side, const snowknot::CountAnswer& a) {
   Out out;
-  word_of_switch(now, out);
-  auto& all = books(side);
+  report_switch(now, out);
+  auto& all = ledgers(side);
   const auto it = all.find(a.name);
   if (it == all.end() || it->second.out.empty()) return out;
   auto& b = it->second;
@@ -86,24 +86,24 @@
   if (call.deciding) {
     out.answers.push_back(a);
   } else if (a.outcome == CountOutcome::refused) {
-    b.lacks += call.amount;
+    b.missing += call.amount;
   } else if (a.outcome == CountOutcome::timeout) {
-    b.doubt = true;
+    b.uncertain = true;
   }
   return out;
 }
 
 CutOver::Out CutOver::lost(Time now, Side side, const snowknot::CountsLost& l) {
   Out out;
-  word_of_switch(now, out);
+  report_switch(now, out);
   if ((side == Side::after) == decides_after(now))
     out.lost = l;
   else if (side == Side::after)
-    spoilt_ = std::max(spoilt_.value_or(l.at), l.at);
+    incomplete_until_ = std::max(incomplete_until_.value_or(l.at), l.at);
   return out;
 }
 
-// Names whose windows are over, once in a while.
+// Removes names whose windows have ended, at most once a second.
 void CutOver::sweep(Time now) {
   if (now < swept_ + std::chrono::seconds(1)) return;
   swept_ = now;
--- a/src/store/cut_over.hpp
+++ b/src/store/cut_over.hpp
@@ -1,7 +1,7 @@
-// Moving the counts of a serving fleet from one store to another, without I/O. From the start until some time after the
-// cut-over every amount is added to both stores; the old one's total is the answer before the cut-over, the new one's
-// after it. So no window is counted in halves: at the cut-over the new store has all that was added since the last node
-// began to add to both. Its bound is in docs/design/store.md.
+// Migrates the counts of a serving fleet from one store to another, without I/O. From the start until some time after
+// the cut-over every amount is added to both stores; the old one's total is the answer before the cut-over, the new
+// one's after it. So no window is split: at the cut-over the new store has everything added since the last node began
+// to add to both. See docs/design/store.md for the bound.
 #pragma once
 
 #include <deque>
@@ -15,11 +15,12 @@
 
 namespace docklift::store {
 
-// "2026-12-24T02:30:00Z", with fractions of a second if need be; nothing else.
+// Parses "2026-12-24T02:30:00Z", optionally with fractions of a second; accepts no other format.
 std::optional<snowknot::Time> time_of(std::string_view text);
 
 enum class Side { before, after };
 
+// Decides which store gets an add and whose answer counts.
 class CutOver {
  public:
   struct Add {
@@ -34,12 +35,12 @@
     std::optional<snowknot::CountsLost> lost;
   };
 
-  // `overlap`: no window of a count is longer.
+  // `overlap`: at least the longest window of a count.
   CutOver(snowknot::Time start, snowknot::Time cut_over, snowknot::Duration overlap)
       : start_(start), at_(cut_over), overlap_(overlap) {}
 
   Out add(snowknot::Time now, snowknot::CountName name, double amount, snowknot::Duration lifetime);
-  // Calls of one name are answered by each store in their order.
+  // Each store answers the calls of one name in order.
   Out answered(snowknot::Time now, Side side, const snowknot::CountAnswer& answer);
   Out lost(snowknot::Time now, Side side, const snowknot::CountsLost& lost);
 
@@ -48,26 +49,27 @@
 
  private:
   struct Call {
-    bool deciding = false;  // its answer is the answer
+    bool deciding = false;  // its answer is passed on
     double amount = 0;
   };
-  // One name's calls that are out at one side, and what that side still lacks of the amounts.
-  struct Book {
+  // The calls of one name in flight to one store, and the amounts that this store has not got yet.
+  struct Ledger {
     std::deque<Call> out;
-    double lacks = 0;
-    bool doubt = false;  // of one nobody knows whether it was added
+    double missing = 0;
+    bool uncertain = false;  // whether a call was added is not known
     snowknot::Time until{};
   };
-  using Books = std::unordered_map<snowknot::CountName, Book>;
+  using Ledgers = std::unordered_map<snowknot::CountName, Ledger>;
 
-  Books& books(Side side) { return side == Side::before ? before_ : after_; }
+  Ledgers& ledgers(Side side) { return side == Side::before ? before_ : after_; }
   void sweep(snowknot::Time now);
-  void word_of_switch(snowknot::Time now, Out& out);
+  void report_switch(snowknot::Time now, Out& out);
 
   snowknot::Time start_, at_;
   snowknot::Duration overlap_;
-  Books before_, after_;
-  std::optional<snowknot::Time> spoilt_;  // until when the new store's counts lack something of this node's
+  Ledgers before_, after_;
+  // In the new store, windows that began before this time lack amounts of this node.
+  std::optional<snowknot::Time> incomplete_until_;
   snowknot::Time swept_{};
   bool switched_ = false;
 };
--- a/src/store/moving_store.hpp
+++ b/src/store/moving_store.hpp
@@ -1,4 +1,4 @@
-// Two stores of counts under a CutOver.
+// A store of counts that migrates from one store to another by a CutOver.
 #pragma once
 
 #include "snowknot/gateway.hpp"
@@ -6,7 +6,7 @@
 
 namespace docklift::store {
 
-// A store that moves from what `before` makes to what `after` makes.
+// Creates a store that switches at `cut_over` from the store of `before` to that of `after`.
 snowknot::StoreFactory moving(snowknot::StoreFactory before, snowknot::StoreFactory after,
                               snowknot::Time cut_over, snowknot::Duration overlap);
 
