--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -1,5 +1,5 @@
-// A journal on a disk that fails: power cut at every byte and between any two steps, what was not synced lost, torn or in another order, syncs that fail,
-// a disk that is full, a block of another file, another node's disk.
+// A journal on a failing disk: power cuts at every byte and between any two steps, unsynced data lost, torn or reordered, failing syncs, a full disk,
+// a block of another file, another node's disk.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,14 +21,14 @@
 
 struct PowerCut {};
 
-// Files as a machine holds them: what is on the disk, and what its memory has of them.
+// Files on a simulated disk: the synced contents, and those in the page cache.
 class FaultyDisk {
  public:
   explicit FaultyDisk(std::uint64_t seed) : random(seed) {}
 
-  std::size_t steps_left = SIZE_MAX;  // the power is cut before the next one
+  std::size_t steps_left = SIZE_MAX;  // steps until the power is cut
   double sync_fails = 0;
-  std::size_t room = SIZE_MAX;  // bytes of all files
+  std::size_t capacity = SIZE_MAX;  // bytes of all files
   bool read_only = false;
   Random random;
 
@@ -42,14 +42,14 @@
     for (const auto& [name, file] : files_) all += file.memory.size();
     for (std::size_t at = 0; at < c.bytes.size(); at += kBlock) {
       step();
-      const auto piece = c.bytes.substr(at, kBlock);
-      if (all + piece.size() > room) return false;
-      all += piece.size();
-      f.memory += piece;
+      const auto block = c.bytes.substr(at, kBlock);
+      if (all + block.size() > capacity) return false;
+      all += block.size();
+      f.memory += block;
     }
     step();
     if (random.chance(sync_fails)) {
-      f.given_up = f.memory.size();  // clean pages, as far as the kernel goes: no later sync writes them
+      f.failed_sync_end = f.memory.size();  // the kernel marks the pages clean: no later sync writes them
       return false;
     }
     f.sync();
@@ -62,7 +62,7 @@
     return true;
   }
 
-  // The power comes back: what was synced is there, of the rest any blocks, and the last one torn.
+  // Restores power: synced data is there, of the rest any subset of blocks, the last one torn.
   void lose_power() {
     for (auto it = files_.begin(); it != files_.end();) {
       auto& [name, f] = *it;
@@ -74,8 +74,8 @@
       std::string now = f.disk;
       const auto length = f.disk.size() + random.below(f.memory.size() - std::min(f.memory.size(), f.disk.size()) + 1);
       for (std::size_t at = f.disk.size(); at < length; at += kBlock) {
-        const auto piece = f.memory.substr(at, std::min(kBlock, length - at));
-        now += random.chance(0.5) ? piece : std::string(piece.size(), random.chance(0.5) ? '\0' : '\xd0');
+        const auto block = f.memory.substr(at, std::min(kBlock, length - at));
+        now += random.chance(0.5) ? block : std::string(block.size(), random.chance(0.5) ? '\0' : '\xd0');
       }
       f = {now, now, true, true, 0};
       ++it;
@@ -92,11 +92,13 @@
  private:
   struct File {
     std::string disk{}, memory{};
-    bool on_disk = false, in_memory = false;  // its name
-    std::size_t given_up = 0;
+    bool on_disk = false, in_memory = false;  // of the directory entry
+    std::size_t failed_sync_end = 0;
     void sync() {
-      if (given_up == 0) disk = memory;
-      else disk += std::string(given_up - std::min(given_up, disk.size()), '\0') + memory.substr(given_up);
+      if (failed_sync_end == 0) disk = memory;
+      else
+        disk += std::string(failed_sync_end - std::min(failed_sync_end, disk.size()), '\0') +
+                memory.substr(failed_sync_end);
     }
   };
   void step() {
@@ -105,43 +107,43 @@
   std::map<std::string, File> files_;
 };
 
-// What was ever said of each key, and when.
+// All values ever written to each key, with their numbers.
 struct History {
-  std::map<std::string, std::vector<std::pair<std::uint64_t, std::optional<std::string>>>> said;
-  void note(const std::string& key, std::uint64_t number, std::optional<std::string> value) { said[key].emplace_back(number, std::move(value)); }
-  // Nothing that was durable is missing, and nothing is there that was never said.
+  std::map<std::string, std::vector<std::pair<std::uint64_t, std::optional<std::string>>>> written;
+  void note(const std::string& key, std::uint64_t number, std::optional<std::string> value) { written[key].emplace_back(number, std::move(value)); }
+  // Checks that no durable value is missing, and that no value is there that was never written.
   std::string wrong(const std::map<std::string, std::string>& state, std::uint64_t durable) const {
-    for (const auto& [key, all] : said) {
+    for (const auto& [key, all] : written) {
       const auto it = state.find(key);
       const auto has = it == state.end() ? std::nullopt : std::optional(it->second);
-      std::optional<std::string> least;  // the last durable word
+      std::optional<std::string> last_durable;  // the last durable value
       bool good = false;
       for (const auto& [number, value] : all) {
-        if (number <= durable) least = value;
+        if (number <= durable) last_durable = value;
         else good = good || value == has;
       }
-      if (!good && least != has) return key + " has " + has.value_or("nothing") + ", durable was " + least.value_or("nothing");
+      if (!good && last_durable != has) return key + " has " + has.value_or("nothing") + ", durable was " + last_durable.value_or("nothing");
     }
     for (const auto& [key, value] : state)
-      if (!said.contains(key)) return key + " is from nowhere";
+      if (!written.contains(key)) return key + " is from nowhere";
     return {};
   }
 };
 
-struct Play {
-  explicit Play(std::uint64_t seed) : disk(seed), random(seed + 1) {}
+struct Scenario {
+  explicit Scenario(std::uint64_t seed) : disk(seed), random(seed + 1) {}
   FaultyDisk disk;
   Random random;
   History history;
   Instant now{1s};
   std::uint64_t durable = 0;
 
-  // A life: from what the disk has, some changes, to a cut of the power or an end. Returns what went wrong.
-  std::string live(std::size_t changes) {
+  // Runs one incarnation: recovers, then makes changes until the power is cut. Returns what went wrong.
+  std::string run_incarnation(std::size_t changes) {
     const auto found = recover(disk.read(), "n0");
     if (const auto w = history.wrong(found.state, durable); !w.empty()) return w;
-    // What is read is the word from now on: a value that was not durable may be gone for good.
-    history.said.clear();
+    // The recovered values are the reference from now on: a value that was not durable may be lost for good.
+    history.written.clear();
     for (const auto& [key, value] : found.state) history.note(key, 0, value);
     Journal j("n0", {.grow = 2, .least_bytes = 2000, .most_bytes = 20'000, .most_waiting = 3000});
     std::uint64_t last = 0;
@@ -168,7 +170,7 @@
     } catch (const PowerCut&) {
       durable = j.durable();
     }
-    disk.lose_power();  // every life ends by it
+    disk.lose_power();  // every incarnation ends with a power cut
     return {};
   }
   void run(Journal& j, std::optional<Commit> c) {
@@ -177,32 +179,32 @@
   }
 };
 
-TEST(Journal, WhatWasDurableOutlivesPowerCutsAtRandomMoments) {
+TEST(Journal, DurableDataSurvivesRandomPowerCuts) {
   for (std::uint64_t seed = 1; seed <= 1500; ++seed) {
-    Play p(seed);
-    for (int life = 0; life < 4; ++life) {
+    Scenario p(seed);
+    for (int incarnation = 0; incarnation < 4; ++incarnation) {
       p.disk.steps_left = 1 + p.random.below(150);
       p.disk.sync_fails = seed % 3 == 0 ? 0.1 : 0;
-      const auto wrong = p.live(60);
-      ASSERT_EQ(wrong, "") << "seed " << seed << ", life " << life;
+      const auto wrong = p.run_incarnation(60);
+      ASSERT_EQ(wrong, "") << "seed " << seed << ", incarnation " << incarnation;
     }
   }
 }
 
-TEST(Journal, WhatWasDurableOutlivesACutAtEachStepOfASmallLife) {
+TEST(Journal, DurableDataSurvivesAPowerCutAtEachStep) {
   std::size_t cuts = 0;
   for (std::size_t step = 0; step < 120; ++step)
     for (std::uint64_t seed = 1; seed <= 8; ++seed, ++cuts) {
-      Play p(seed);
-      ASSERT_EQ(p.live(10), "");
+      Scenario p(seed);
+      ASSERT_EQ(p.run_incarnation(10), "");
       p.disk.steps_left = step;
-      ASSERT_EQ(p.live(40), "") << step;
-      ASSERT_EQ(p.live(1), "") << "seed " << seed << ", cut before step " << step;
+      ASSERT_EQ(p.run_incarnation(40), "") << step;
+      ASSERT_EQ(p.run_incarnation(1), "") << "seed " << seed << ", cut before step " << step;
     }
   EXPECT_EQ(cuts, 960U);
 }
 
-TEST(Journal, ATornTailIsNoDamageAtAnyByte) {
+TEST(Journal, TornTailIsNotDamageAtAnyByte) {
   Journal j("n0", {});
   std::string file;
   const auto keep = [&](std::optional<Commit> c) {
@@ -235,7 +237,7 @@
   std::vector<std::size_t> starts;
 };
 
-TEST_F(Written, ABadRecordInTheMiddleIsNamedAndTheOthersCount) {
+TEST_F(Written, BadRecordInTheMiddleIsReportedAndTheOthersAreRead) {
   file[starts[1] + 30] ^= 1;
   const auto r = recover({{file_name(1), file}}, "n0");
   EXPECT_EQ(r.state.size(), 2U);
@@ -248,12 +250,12 @@
   const auto r = recover({{file_name(1), file}}, "n1");
   EXPECT_TRUE(r.state.empty());
   EXPECT_EQ(r.read, 0U);
-  EXPECT_EQ(r.generation, 1U);  // and its file is not written over
+  EXPECT_EQ(r.generation, 1U);  // and its file is not overwritten
   ASSERT_EQ(r.damage.size(), 1U);
   EXPECT_EQ(r.damage[0].what, "no record of this node");
 }
 
-TEST_F(Written, BlocksOfAnotherGenerationAreNoRecords) {
+TEST_F(Written, BlocksOfAnotherGenerationAreIgnored) {
   const auto r = recover({{file_name(2), file}}, "n0");
   EXPECT_TRUE(r.state.empty());
   const auto both = recover({{file_name(1), file}, {file_name(2), file.substr(0, 300)}}, "n0");
@@ -261,13 +263,13 @@
   EXPECT_TRUE(both.older);
 }
 
-TEST_F(Written, OtherFilesInTheFolderAreLeftAlone) {
+TEST_F(Written, OtherFilesInTheFolderAreIgnored) {
   const auto r = recover({{"journal-xyz", file}, {"core", "x"}, {file_name(1), file}, {"journal-0000000000000000", file}}, "n0");
   EXPECT_EQ(r.state.size(), 3U);
   EXPECT_EQ(r.generation, 1U);
 }
 
-TEST(Journal, AFullDiskIsSaidAndTriedAgainAndNothingIsCalledDurable) {
+TEST(Journal, FullDiskIsReportedAndRetriedAndNothingIsDurable) {
   FaultyDisk disk(1);
   Journal j("n0", {});
   Instant now{1s};
@@ -276,13 +278,13 @@
     for (; c; ++n) c = j.done(now, c->id, disk.perform(*c));
     return n;
   };
-  disk.room = 10;
-  EXPECT_EQ(run(j.begin(now, {})), 2U);  // once more at once, then no sooner than `again`
+  disk.capacity = 10;
+  EXPECT_EQ(run(j.begin(now, {})), 2U);  // retried once at once, then not before `again`
   EXPECT_TRUE(j.figures().broken);
   run(j.put(now, "k", "v"));
   EXPECT_EQ(run(j.tick(now + 4s)), 0U);
   EXPECT_EQ(j.durable(), 0U);
-  disk.room = SIZE_MAX;
+  disk.capacity = SIZE_MAX;
   now += 6s;
   EXPECT_EQ(run(j.tick(now)), 1U);
   EXPECT_FALSE(j.figures().broken);
@@ -290,7 +292,7 @@
   EXPECT_EQ(recover(disk.read(), "n0").state.at("k"), "v");
 }
 
-TEST(Journal, AfterASyncThatFailedItsFileIsNotWrittenAnyMore) {
+TEST(Journal, FileIsNotWrittenAfterAFailedSync) {
   FaultyDisk disk(1);
   Journal j("n0", {});
   for (auto c = j.begin(0s, {}); c; c = j.done(0s, c->id, disk.perform(*c))) continue;
@@ -302,11 +304,11 @@
   c = j.done(1s, c->id, disk.perform(*c));
   ASSERT_TRUE(c && c->create);
   EXPECT_NE(c->file, failed);
-  EXPECT_EQ(std::ranges::find(c->remove, failed), c->remove.end());  // it holds what was durable before
+  EXPECT_EQ(std::ranges::find(c->remove, failed), c->remove.end());  // it holds the earlier durable data
 }
 
-// What comes while a commit is under way goes out with the next one, together.
-TEST(Journal, ManyChangesOfOneMomentAreOneCommit) {
+// Changes made during a commit are written together by the next one.
+TEST(Journal, ConcurrentChangesAreOneCommit) {
   Journal j("n0", {.least_bytes = 1'000'000});
   auto c = j.begin(0s, {});
   for (int i = 0; i < 100; ++i) EXPECT_FALSE(j.put(Instant(i), "k" + std::to_string(i), "v"));
@@ -318,7 +320,7 @@
   EXPECT_EQ(j.figures().commits, 2U);
 }
 
-TEST(Journal, FilesStayBoundedWhereKeysChangeForEver) {
+TEST(Journal, FileSizesStayBoundedUnderEndlessChanges) {
   FaultyDisk disk(1);
   Journal j("n0", {.least_bytes = 4000});
   std::size_t most = 0, names = 0;
@@ -351,29 +353,29 @@
   std::filesystem::path folder;
 };
 
-TEST_F(RealDisk, ALifeIsFoundByTheNext) {
-  for (int life = 0; life < 5; ++life) {
+TEST_F(RealDisk, StateIsRecoveredByTheNextIncarnation) {
+  for (int incarnation = 0; incarnation < 5; ++incarnation) {
     const auto found = recover(read_files(folder), "n0");
     ASSERT_TRUE(found.damage.empty());
-    EXPECT_EQ(found.state.size(), life == 0 ? 0U : 1U);
-    EXPECT_TRUE(life == 0 || found.state.at("life") == std::to_string(life - 1));
+    EXPECT_EQ(found.state.size(), incarnation == 0 ? 0U : 1U);
+    EXPECT_TRUE(incarnation == 0 || found.state.at("life") == std::to_string(incarnation - 1));
     Journal j("n0", {});
     for (auto c = j.begin(0s, found); c; c = j.done(0s, c->id, perform(folder, *c))) continue;
-    j.put(0s, "life", std::to_string(life));
+    j.put(0s, "life", std::to_string(incarnation));
     for (auto c = j.tick(1s); c; c = j.done(1s, c->id, perform(folder, *c))) continue;
     EXPECT_EQ(j.durable(), j.number());
     EXPECT_LE(read_files(folder).size(), 2U);
   }
 }
 
-TEST_F(RealDisk, AFolderThatIsNotThereIsARefusalAndNoEnd) {
+TEST_F(RealDisk, MissingFolderIsAnError) {
   Journal j("n0", {});
   const auto c = j.begin(0s, recover(read_files(folder / "none"), "n0"));
   ASSERT_TRUE(c);
   EXPECT_FALSE(perform(folder / "none", *c));
 }
 
-TEST_F(RealDisk, AFileThatIsThereAlreadyIsNotWrittenOver) {
+TEST_F(RealDisk, ExistingFileIsNotOverwritten) {
   std::ofstream(folder / file_name(1)) << "somebody's";
   EXPECT_FALSE(perform(folder, {.id = 1, .file = file_name(1), .create = true, .bytes = "x", .remove = {}}));
   EXPECT_EQ(read_files(folder).at(file_name(1)), "somebody's");
--- a/tests/orderings_test.cpp
+++ b/tests/orderings_test.cpp
@@ -1,5 +1,5 @@
-// Every order of a few events, played from the start each time: a teller that dies at any moment, and a node's return among rumours of its
-// former life. (Orders of merging: records_test.)
+// Runs every order of a few events: a restorer of a lost count that fails at any moment, and a node's return among rumors of its earlier
+// incarnation. (For orders of merging see records_test.)
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,8 +26,9 @@
 
 constexpr Instant kNow = 1000s;
 
-// Calls `play` for every order of events 0 to n-1 in which each chain's events keep theirs. Returns how many.
-std::size_t each_order(std::size_t n, const std::vector<std::vector<std::size_t>>& chains, const std::function<void(const std::vector<std::size_t>&)>& play) {
+// Calls `run` for every order of events 0 to n-1 that keeps the order within each chain. Returns the number
+// of orders.
+std::size_t each_order(std::size_t n, const std::vector<std::vector<std::size_t>>& chains, const std::function<void(const std::vector<std::size_t>&)>& run) {
   std::vector<std::size_t> before(n, n);  // the event that must come first; n: none
   for (const auto& c : chains)
     for (std::size_t i = 1; i < c.size(); ++i) before[c[i]] = c[i - 1];
@@ -35,7 +36,7 @@
   std::vector<std::size_t> order;
   std::size_t count = 0;
   const std::function<void()> go = [&] {
-    if (order.size() == n) return ++count, play(order);
+    if (order.size() == n) return ++count, run(order);
     for (std::size_t e = 0; e < n; ++e) {
       if (done[e] || (before[e] != n && !done[before[e]])) continue;
       done[e] = true, order.push_back(e);
@@ -47,12 +48,12 @@
   return count;
 }
 
-// ---- A teller that dies -----------------------------------------------------------------------------------------
+// ---- A restorer that fails --------------------------------------------------------------------------------------
 
 const Origin kA{"a", 1}, kB{"b", 2};
 
-// A count of which `a` is the teller.
-CountName told_by_a() {
+// A count that `a` restores.
+CountName restored_by_a() {
   for (std::uint64_t n = 1;; ++n)
     if (mixed(n, "a", 1) > mixed(n, "b", 1)) return CountName(n);
 }
@@ -67,7 +68,7 @@
   Counts counts{records, *this, {}};
 };
 
-// Two nodes that have added 10 and 5 units to a count which its store has lost then.
+// Two nodes that have added 10 and 5 units to a count, which the store has then lost.
 struct Loss {
   Loss() {
     for (auto* s : {&a, &b}) {
@@ -89,42 +90,42 @@
   void carry_out(Side& s, const Counts::Out& out) {
     if (out.lost) shut = true;
     for (const auto& add : out.adds)
-      if (add.restores) telling[&s] = add.amount;
+      if (add.restores) restores_in_flight[&s] = add.amount;
   }
   Side a{kA, kB}, b{kB, kA};
-  CountName name = told_by_a();
+  CountName name = restored_by_a();
   double store = 0;
-  std::map<Side*, double> telling{};  // that is out
-  bool shut = false;                  // b's module was told of the loss: it goes by no total
+  std::map<Side*, double> restores_in_flight{};  // amounts in flight
+  bool shut = false;                  // b's module was notified of the loss: it uses no totals
 };
 
-TEST(Orderings, ATellerThatDiesAtAnyMomentMakesNoTotalTooSmall) {
-  enum Events : std::size_t { a_ticks, a_is_told_in, a_is_answered, a_is_heard, a_dies, b_adds, b_is_in, b_is_answered, b_ticks, b_ticks_again, kEvents };
+TEST(Orderings, RestorerFailingAtAnyMomentMakesNoTotalTooSmall) {
+  enum Events : std::size_t { a_ticks, a_restore_applied, a_is_answered, a_pages_received, a_fails, b_adds, b_add_applied, b_is_answered, b_ticks, b_ticks_again, kEvents };
   std::size_t twice = 0, checked = 0;
   std::string wrong;
-  const auto orders = each_order(kEvents, {{a_ticks, a_is_told_in, a_is_answered}, {b_adds, b_is_in, b_is_answered}, {b_ticks, b_ticks_again}},
+  const auto orders = each_order(kEvents, {{a_ticks, a_restore_applied, a_is_answered}, {b_adds, b_add_applied, b_is_answered}, {b_ticks, b_ticks_again}},
                                  [&](const std::vector<std::size_t>& order) {
     Loss l;
-    bool a_lives = true, a_told = false, out = false;
-    std::size_t tells = 0;
-    double total_of_b = -1, told_of_a = 0;
+    bool a_alive = true, a_restored = false, out = false;
+    std::size_t restores = 0;
+    double total_of_b = -1, restored_of_a = 0;
     for (const auto e : order) {
       switch (e) {
         case a_ticks:
-          if (a_lives) l.carry_out(l.a, l.a.counts.tick(kNow));
+          if (a_alive) l.carry_out(l.a, l.a.counts.tick(kNow));
           break;
-        case a_is_told_in:  // also when it has died since
-          if (l.telling.contains(&l.a)) told_of_a = l.telling[&l.a], l.store += told_of_a, a_told = true, ++tells;
+        case a_restore_applied:  // also if it has failed since
+          if (l.restores_in_flight.contains(&l.a)) restored_of_a = l.restores_in_flight[&l.a], l.store += restored_of_a, a_restored = true, ++restores;
           break;
         case a_is_answered:
-          if (a_lives && a_told) l.a.counts.answered(kNow, {l.name, CountOutcome::ok, l.store, {}});
+          if (a_alive && a_restored) l.a.counts.answered(kNow, {l.name, CountOutcome::ok, l.store, {}});
           break;
-        case a_is_heard:
-          if (a_lives) Loss::pages(l.a, l.b);
+        case a_pages_received:
+          if (a_alive) Loss::pages(l.a, l.b);
           break;
-        case a_dies: a_lives = false, l.b.others.clear(), l.b.counts.members_changed(); break;
+        case a_fails: a_alive = false, l.b.others.clear(), l.b.counts.members_changed(); break;
         case b_adds: out = !l.b.counts.add(kNow, l.name, 1, 10s).adds.empty(); break;
-        case b_is_in:
+        case b_add_applied:
           if (out) l.store += 1, total_of_b = l.store;
           break;
         case b_is_answered: {
@@ -133,8 +134,9 @@
           for (const auto& x : answered.answers) {
             if (x.outcome != CountOutcome::ok || l.shut) continue;
             ++checked;
-            if (x.total < 16 - 0.01) wrong = "told " + std::to_string(x.total) + " of a count that has had 16";
-            if (x.total > 16 + 15 + 0.01) wrong = "told " + std::to_string(x.total) + ", more than once over";
+            if (x.total < 16 - 0.01) wrong = "total " + std::to_string(x.total) + " of a count that has had 16";
+            if (x.total > 16 + 15 + 0.01)
+              wrong = "total " + std::to_string(x.total) + ", restored more than once";
           }
           break;
         }
@@ -142,11 +144,11 @@
         case b_ticks_again: {
           const bool knew = l.b.records.find(kA, Kind::restore_started, replica::number_key(static_cast<std::uint64_t>(l.name))) != nullptr;
           l.carry_out(l.b, l.b.counts.tick(kNow + (e == b_ticks ? 1s : 2s)));
-          if (const auto it = l.telling.find(&l.b); it != l.telling.end()) {
-            if (knew) wrong = "told again although a teller had begun";
-            if (out && total_of_b < 0) out = false;  // its answers come in order: this one's is not played
-            l.store += it->second, ++tells;
-            l.telling.erase(it);
+          if (const auto it = l.restores_in_flight.find(&l.b); it != l.restores_in_flight.end()) {
+            if (knew) wrong = "restored again although a restorer had begun";
+            if (out && total_of_b < 0) out = false;  // answers come in order: this one's is not simulated
+            l.store += it->second, ++restores;
+            l.restores_in_flight.erase(it);
           }
           break;
         }
@@ -154,7 +156,7 @@
       }
       if (!wrong.empty()) break;
     }
-    twice += tells > 1 ? 1 : 0;
+    twice += restores > 1 ? 1 : 0;
     if (!wrong.empty()) {
       std::string text = wrong + ":";
       for (const auto e : order) text += " " + std::to_string(e);
@@ -164,17 +166,17 @@
   if (HasFatalFailure()) return;
   EXPECT_EQ(orders, 50'400U);
   EXPECT_GT(checked, 1'000U);
-  std::cout << orders << " orders, " << checked << " totals checked, told by both in " << twice << '\n';
+  std::cout << orders << " orders, " << checked << " totals checked, restored by both in " << twice << '\n';
 }
 
-// ---- A return ---------------------------------------------------------------------------------------------------
+// ---- A node's return --------------------------------------------------------------------------------------------
 
-TEST(Orderings, ANodesReturnIsBelievedInEveryOrderOfRumours) {
+TEST(Orderings, ReturningNodeIsAcceptedInEveryOrderOfRumors) {
   using members::Members;
   using members::State;
-  const members::Life former{"x", 10, 1, "X", ""}, next{"x", 11, 2, "X", ""}, teller{"t", 5, 9, "T", ""};
-  const std::vector<members::Rumour> rumours{{former, 0, State::alive}, {former, 0, State::suspect}, {former, 1, State::alive}, {former, 1, State::dead},
-                                             {former, 1, State::left},  {next, 0, State::alive},     {next, 0, State::suspect}, {next, 1, State::alive}};
+  const members::Life earlier{"x", 10, 1, "X", ""}, next{"x", 11, 2, "X", ""}, sender{"t", 5, 9, "T", ""};
+  const std::vector<members::Rumour> rumours{{earlier, 0, State::alive}, {earlier, 0, State::suspect}, {earlier, 1, State::alive}, {earlier, 1, State::dead},
+                                             {earlier, 1, State::left},  {next, 0, State::alive},     {next, 0, State::suspect}, {next, 1, State::alive}};
   const auto orders = each_order(rumours.size(), {}, [&](const std::vector<std::size_t>& order) {
     Members o({"o", 1, 3, "O", ""}, {}, 1);
     o.begin(kNow, {});
@@ -182,7 +184,7 @@
     for (const auto e : order) {
       members::Message m;
       m.kind = members::Message::Kind::ack;
-      m.from = {teller, 0, State::alive};
+      m.from = {sender, 0, State::alive};
       m.rumours = {rumours[e]};
       o.received(kNow, m);
       const auto* x = o.find("x");
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -1,4 +1,4 @@
-// Members, records, words, seals and schedules by themselves: the laws of merging in every order, conflicts, bounds, and bad input.
+// Unit tests of members, records, server phases, datagrams and fault schedules: merging in every order, conflicts, limits and invalid input.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -40,8 +40,8 @@
 
 // ---- Merging ------------------------------------------------------------------------------------------------
 
-// Every order of the pages of two origins, the first one twice at the end: whatever came too early is asked for and comes again.
-TEST(Records, EveryOrderOfPagesLeadsToTheSameCopies) {
+// Every order of the pages of two origins, each repeated: a page that came too early is requested and arrives again.
+TEST(Records, EveryOrderOfPagesGivesTheSameCopies) {
   const std::vector<Page> all{{kA, 0, 2, true, {record(1, Kind::server_status, "s", "1"), record(2, Kind::use, "u", "1")}},
                               {kA, 2, 3, true, {record(3, Kind::server_status, "s", "2")}},
                               {kA, 3, 5, false, {record(5, Kind::use, "u", "2")}},
@@ -55,7 +55,7 @@
   do {
     ++orders;
     Replica r(kC, {}, 1);
-    for (int turn = 0; turn < 2; ++turn)  // what a gap has turned away comes once more, as it is asked for
+    for (int turn = 0; turn < 2; ++turn)  // pages rejected because of a gap are requested and arrive again
       for (const auto i : order) r.received(kNow, "x", pages({all[i]}));
     for (const auto i : order) r.received(kNow, "x", pages({all[i]}));
     if (digest == 0) digest = r.digest();
@@ -68,7 +68,7 @@
   EXPECT_EQ(orders, 720U);
 }
 
-TEST(Records, APageThatDoesNotJoinOnIsAskedForFromWhereItIsMissing) {
+TEST(Records, GapBeforeAPageIsRequested) {
   Replica r(kC, {}, 1);
   const auto out = r.received(kNow, "x", pages({{kA, 7, 9, false, {record(9, Kind::use, "u", "1")}}}));
   EXPECT_EQ(r.find(kA, Kind::use, "u"), nullptr);
@@ -77,8 +77,9 @@
   EXPECT_EQ(out.sends[0].message.entries[0].number, 0U);
 }
 
-// What was changed again since is behind the number that a copy has reached, and its former record is nowhere: all of a first page, none of the second.
-TEST(Records, ACopyIsWholeOnlyWhereItHoldsWhatWasMovedBehindItsNumber) {
+// A key that was changed again has a number above the one a copy has reached, and its former record no longer exists: here the copy has the first page but
+// not the second.
+TEST(Records, CopyIsCompleteOnlyWithTheKeysChangedAgain) {
   Replica a(kA, {.page_bytes = 60}, 1), b(kB, {}, 2);
   a.put(Kind::use, "u", "21");
   a.put(Kind::epoch_ended, "", "1");
@@ -89,7 +90,7 @@
   ASSERT_NE(b.find(kA, Kind::epoch_ended, ""), nullptr);
   EXPECT_EQ(b.find(kA, Kind::use, "u"), nullptr);
   EXPECT_EQ(b.complete_at(kA), 0U);
-  // Whoever copies from the copy learns as much, and no more.
+  // A copy of the copy is as complete, and no more.
   Replica c(kC, {}, 3);
   for (const auto& m : b.all_pages()) c.received(kNow, "b", m);
   EXPECT_EQ(c.number_of(kA), 2U);
@@ -99,9 +100,8 @@
   EXPECT_EQ(b.find(kA, Kind::use, "u")->value, "21, and 4 since");
 }
 
-// A returning node far behind: the sender dies in the middle, another goes on from there.
-// A node that comes back to many origins with much to tell: each answer leads to the next question, and no time passes between them.
-TEST(Records, ManyOriginsAreCaughtUpWithoutAWait) {
+// A node returns to many origins with many records: each response leads to the next request without any delay.
+TEST(Records, ManyOriginsAreCaughtUpWithoutDelay) {
   Replica old({"old", 1}, {}, 1), fresh({"fresh", 2}, {}, 2);
   constexpr std::size_t kOrigins = 20;
   for (std::size_t o = 0; o < kOrigins; ++o) {
@@ -121,15 +121,16 @@
     messages += to_fresh.size();
   }
   EXPECT_EQ(fresh.figures().records, kOrigins * 100);
-  // 134 bytes a record of 900 a message: not much more than it takes.
+  // A record has 134 bytes, a message 900: not many more messages than needed.
   EXPECT_LT(messages, kOrigins * 100 / 5);
 }
 
-TEST(Records, ASnapshotGoesOnAtAnotherPeerFromWhereTheFirstDied) {
+// A node that is far behind: the sender fails in the middle, and another peer continues from there.
+TEST(Records, SnapshotContinuesFromAnotherPeerAfterTheFirstFails) {
   Replica a(kA, {}, 1), b(kB, {}, 2), c(kC, {}, 3);
   for (int i = 0; i < 2000; ++i) a.put(Kind::use, "u" + std::to_string(i), std::string(40, 'v'));
   const auto feed = [](Replica& to, Replica& from, const std::string& name, std::size_t most) {
-    // Asks, and answers, until nothing more is wanted or the sender has died.
+    // Exchanges requests and responses until nothing more is requested or the sender fails.
     std::vector<replica::Message> asked{Replica::ask()};
     std::size_t sent = 0;
     while (!asked.empty()) {
@@ -141,7 +142,7 @@
       }
     }
   };
-  feed(b, a, "a", 1000);  // a page holds some fifteen: nothing is answered manifold
+  feed(b, a, "a", 1000);  // a page holds about 15 records: no duplicates are sent
   ASSERT_EQ(b.vector().at(kA), 2000U);
   feed(c, a, "a", 20);
   const auto half = c.vector().at(kA);
@@ -152,7 +153,7 @@
   EXPECT_EQ(c.digest(), b.digest());
 }
 
-TEST(Records, ThoseThatEndAreForgottenAndDoNotComeBack) {
+TEST(Records, ExpiredRecordsAreRemovedAndDoNotReturn) {
   Replica r(kC, {}, 1);
   r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::use, "u", "1", kNow + 1s)}}}));
   ASSERT_NE(r.find(kA, Kind::use, "u"), nullptr);
@@ -163,7 +164,7 @@
   EXPECT_EQ(r.vector().at(kA), 1U);
 }
 
-TEST(Records, ALastWordGoesToTwiceAsManyPeersAsInARound) {
+TEST(Records, FinalUpdatesGoToTwiceAsManyPeersAsARound) {
   Replica r(kA, {}, 1);
   std::vector<std::string> peers;
   for (int i = 0; i < 20; ++i) peers.push_back("n" + std::to_string(i));
@@ -181,7 +182,7 @@
 
 // ---- Conflicts ----------------------------------------------------------------------------------------------
 
-TEST(Records, TwoContentsOfOneNumberAreNamedOnceAndTheMoreCarefulIsHeld) {
+TEST(Records, TwoContentsOfOneNumberAreReportedOnceAndTheSaferIsKept) {
   for (const bool careful_first : {true, false}) {
     Replica r(kC, {}, 1);
     const auto drain = replica::to_text(replica::ServerStatus{1, 5, replica::ServerPhase::draining});
@@ -195,7 +196,7 @@
   }
 }
 
-TEST(Records, ChangesToldInOnesOwnNameAreNamedAndGoneAbove) {
+TEST(Records, ForeignChangesInTheOwnNameAreReportedAndNumberedAbove) {
   Replica r(kC, {}, 1);
   r.put(Kind::server_status, "s", "mine");
   const auto out = r.received(kNow, "x", pages({{kC, 0, 40, false, {record(40, Kind::server_status, "s", "not mine")}}}));
@@ -204,7 +205,7 @@
   EXPECT_GT(r.find(kC, Kind::server_status, "s")->number, 40U);
 }
 
-TEST(Records, OverTheBoundWhatIsLeastNeededGoesAndNeverADrainOrUse) {
+TEST(Records, EvictionAboveTheLimitNeverRemovesDrainsOrUse) {
   replica::Limits limits;
   limits.most_records = 100;
   Replica r(kC, limits, 1);
@@ -216,32 +217,33 @@
   EXPECT_EQ(r.keys(Kind::use).size(), 50U);
   EXPECT_LE(r.figures().records, 100U);
   EXPECT_GT(r.figures().dropped, 0U);
-  EXPECT_EQ(r.vector().at(kA), 200U);  // and is not asked for again
+  EXPECT_EQ(r.vector().at(kA), 200U);  // and is not requested again
 }
 
-TEST(Records, AnOriginThatTellsTooMuchIsFenced) {
+TEST(Records, OriginWithTooManyRecordsIsFenced) {
   replica::Limits limits;
   limits.most_of_origin = 50;
   Replica r(kC, limits, 1);
   std::vector<Record> all;
-  for (std::uint64_t i = 1; i <= 60; ++i) all.push_back(record(i, Kind::server_status, "k" + std::to_string(i), "v"));
+  for (std::uint64_t i = 1; i <= 60; ++i)
+    all.push_back(record(i, Kind::server_status, "k" + std::to_string(i), "v"));
   EXPECT_EQ(r.received(kNow, "x", pages({{kA, 0, 60, false, all}})).conflicts.size(), 1U);
   r.received(kNow, "x", pages({{kA, 60, 61, false, {record(61, Kind::server_status, "more", "v")}}}));
   EXPECT_EQ(r.find(kA, Kind::server_status, "more"), nullptr);
 }
 
-// ---- Words on servers ---------------------------------------------------------------------------------------
+// ---- Server phases ------------------------------------------------------------------------------------------
 
-struct WordCase {
+struct StatusCase {
   const char* what;
   replica::ServerStatus others;
   std::uint64_t own_start, own_revision;
   bool drained;
 };
 
-TEST(Words, TheNewestStartThenTheHighestRevisionThenTheDrain) {
+TEST(Words, NewestStartThenHighestRevisionThenDrainWins) {
   using replica::ServerPhase;
-  const std::vector<WordCase> cases{
+  const std::vector<StatusCase> cases{
       {"list older than the drain", {1, 5, ServerPhase::draining}, 1, 4, true},
       {"list of the drain's own revision", {1, 5, ServerPhase::draining}, 1, 5, true},
       {"list newer than the drain", {1, 5, ServerPhase::draining}, 1, 6, false},
@@ -261,11 +263,11 @@
       r.received(kNow, "x", pages({{kA, 0, 1, false, {record(1, Kind::server_status, key, replica::to_text(c.others))}}}));
       words.record_received(key);
       if (!list_first) list();
-      EXPECT_EQ(words.held(7), c.drained) << c.what << (list_first ? ", list first" : ", word first");
+      EXPECT_EQ(words.held(7), c.drained) << c.what << (list_first ? ", list first" : ", record first");
     }
 }
 
-TEST(Words, AServerThatLeavesTheListIsGoneForThoseWhoseListIsOlder) {
+TEST(Words, ServerRemovedFromTheListIsGoneForOlderLists) {
   Replica r(kC, {}, 1);
   replica::ServerPhases words(r);
   bool fresh = false;
@@ -279,45 +281,45 @@
 
 // ---- Members ------------------------------------------------------------------------------------------------
 
-// Any number of Members on a network without faults, in steps of 10 ms.
-struct Circle {
+// Members connected by a network without faults, simulated in steps of 10 ms.
+struct Cluster {
   std::map<std::string, members::Members*> at;  // by address
   members::Instant now = 1000s;
   std::vector<std::string> log{};
-  std::vector<std::pair<std::string, members::Message>> under_way{};
+  std::vector<std::pair<std::string, members::Message>> in_flight{};
   void take(members::Out out) {
-    for (auto& s : out.sends) under_way.emplace_back(s.address, std::move(s.message));
+    for (auto& s : out.sends) in_flight.emplace_back(s.address, std::move(s.message));
     for (auto& l : out.log) log.push_back(l);
   }
   void run(members::Instant time) {
     for (const auto end = now + time; now < end; now += 10ms) {
-      for (auto& [address, m] : std::exchange(under_way, {}))
+      for (auto& [address, m] : std::exchange(in_flight, {}))
         if (const auto it = at.find(address); it != at.end()) take(it->second->received(now, m));
       for (auto& [address, m] : at)
         if (m->due() <= now) take(m->tick(now));
     }
   }
-  std::size_t said(const std::string& text) const {
+  std::size_t logged(const std::string& text) const {
     return static_cast<std::size_t>(std::ranges::count_if(log, [&](const auto& l) { return l.find(text) != std::string::npos; }));
   }
 };
 
-TEST(Members, TwoThatLiveUnderOneNameAreFoundAndNamedAndStopRaising) {
+TEST(Members, TwoNodesUnderOneNameAreReportedAndStopRaisingTheirStart) {
   members::Members a({"a", 10, 1, "A", ""}, {}, 1), one({"x", 10, 2, "X1", ""}, {}, 2), two({"x", 10, 3, "X2", ""}, {}, 3);
-  Circle c{.at = {{"A", &a}, {"X1", &one}, {"X2", &two}}};
+  Cluster c{.at = {{"A", &a}, {"X1", &one}, {"X2", &two}}};
   for (auto* m : {&a, &one, &two}) c.take(m->begin(c.now, {"A"}));
   c.run(20s);
   EXPECT_TRUE(one.duplicate() || two.duplicate());
-  EXPECT_GE(c.said("another process lives under the name x"), 1U);
+  EXPECT_GE(c.logged("another process lives under the name x"), 1U);
   const auto starts = std::pair(one.self().start, two.self().start);
   c.run(20s);
   EXPECT_EQ(std::pair(one.self().start, two.self().start), starts);
   EXPECT_NE(a.find("x")->other_life, 0U);
 }
 
-TEST(Members, AStartGoesAboveTheFormerOneAlsoWhereTheClockWentBack) {
+TEST(Members, StartIsHigherThanTheFormerOneAlsoAfterAClockStepBack) {
   members::Members a({"a", 10, 1, "A", ""}, {}, 1), old({"x", 5000, 2, "X", ""}, {}, 2), next({"x", 70, 3, "X", ""}, {}, 3);
-  Circle c{.at = {{"A", &a}, {"X", &old}}};
+  Cluster c{.at = {{"A", &a}, {"X", &old}}};
   for (auto* m : {&a, &old}) c.take(m->begin(c.now, {"A"}));
   c.run(2s);
   c.at["X"] = &next;
@@ -329,21 +331,21 @@
   EXPECT_FALSE(next.duplicate());
 }
 
-TEST(Members, WhoStoodStillDoubtsNobodyForThatTime) {
+TEST(Members, NodeThatWasSuspendedSuspectsNoOneForThatTime) {
   members::Members a({"a", 10, 1, "A", ""}, {}, 1), b({"b", 10, 2, "B", ""}, {}, 2);
-  Circle c{.at = {{"A", &a}, {"B", &b}}};
+  Cluster c{.at = {{"A", &a}, {"B", &b}}};
   for (auto* m : {&a, &b}) c.take(m->begin(c.now, {"A"}));
   c.run(2s);
-  c.now += 60s;  // both, as on a machine that was suspended
+  c.now += 60s;  // both at once, as on a machine that was suspended
   c.run(300ms);
   EXPECT_EQ(a.find("b")->state, members::State::alive);
   EXPECT_EQ(b.find("a")->state, members::State::alive);
-  EXPECT_GE(c.said("stood still"), 1U);
+  EXPECT_GE(c.logged("stood still"), 1U);
 }
 
-TEST(Members, WhoHasLeftIsNotHeldForDeadNorAlive) {
+TEST(Members, NodeThatLeftIsNeitherDeadNorAlive) {
   members::Members a({"a", 10, 1, "A", ""}, {}, 1), b({"b", 10, 2, "B", ""}, {}, 2);
-  Circle c{.at = {{"A", &a}, {"B", &b}}};
+  Cluster c{.at = {{"A", &a}, {"B", &b}}};
   for (auto* m : {&a, &b}) c.take(m->begin(c.now, {"A"}));
   c.run(2s);
   c.take(b.leave());
@@ -354,7 +356,7 @@
 
 // ---- A successor ---------------------------------------------------------------------------------------------
 
-peers::PeerOptions options_of_life(std::uint64_t life) {
+peers::PeerOptions options_of_incarnation(std::uint64_t life) {
   peers::PeerOptions o;
   o.self = {"n0", 100 + life, life, "A", ""};
   o.fleet_size = 2;
@@ -364,44 +366,44 @@
 
 struct Successor : ::testing::Test {
   void SetUp() override {
-    former.begin(kNow);
-    former.add(kNow, name, 7, 10s);
-    former.store_answered(kNow, {name, snowknot::CountOutcome::ok, 7, {}});
-    former.tick(kNow + 1s);
+    predecessor.begin(kNow);
+    predecessor.add(kNow, name, 7, 10s);
+    predecessor.store_answered(kNow, {name, snowknot::CountOutcome::ok, 7, {}});
+    predecessor.tick(kNow + 1s);
   }
-  // The answer to a call that the successor makes, if there is one at once.
+  // The number of answers that a call made by the successor gets at once.
   std::size_t refused_at_once() {
-    next.inherit(kNow + 1s, former.copies());
+    next.inherit(kNow + 1s, predecessor.copies());
     const auto out = next.add(kNow + 1s, name, 1, 9s);
     EXPECT_EQ(out.adds.size() + out.answers.size(), 1U);
     return out.answers.size();
   }
   const snowknot::CountName name{5};
-  peers::Peer former{options_of_life(1), 1}, next{options_of_life(2), 2};
+  peers::Peer predecessor{options_of_incarnation(1), 1}, next{options_of_incarnation(2), 2};
 };
 
-TEST_F(Successor, HoldsWhatWasHeldAndIsReadyAtOnce) {
+TEST_F(Successor, HasThePredecessorsRecordsAndIsReadyAtOnce) {
   EXPECT_EQ(refused_at_once(), 0U);
   EXPECT_TRUE(next.warm(kNow + 1s));
   EXPECT_NE(next.records().find({"n0", 1}, Kind::use, replica::number_key(5)), nullptr);
 }
 
-// What was added before is not in the store any more: its total is not to be believed before all have closed their books on the lost one.
-TEST_F(Successor, GoesByNoTotalOfACountThatWasOpenAtALoss) {
-  former.store_lost(kNow + 1s, {});
+// Units added before the loss are missing in the store: its total must not be used before all nodes have ended the lost epoch.
+TEST_F(Successor, UsesNoTotalOfACountThatWasOpenAtALoss) {
+  predecessor.store_lost(kNow + 1s, {});
   EXPECT_EQ(refused_at_once(), 1U);
 }
 
-TEST_F(Successor, PassesOverCopiesThatCannotBeRead) {
-  auto copies = former.copies();
+TEST_F(Successor, IgnoresUnreadableCopies) {
+  auto copies = predecessor.copies();
   for (std::size_t n = 0; n < copies.size(); ++n) {
-    peers::Peer p(options_of_life(3), 3);
+    peers::Peer p(options_of_incarnation(3), 3);
     auto bad = copies.substr(0, n);
     p.inherit(kNow, bad);
     EXPECT_TRUE(p.warm(kNow));
     bad = copies;
     bad[n] = static_cast<char>(bad[n] ^ 0x55);
-    peers::Peer q(options_of_life(3), 3);
+    peers::Peer q(options_of_incarnation(3), 3);
     q.inherit(kNow, bad);
   }
 }
@@ -415,7 +417,7 @@
   return {"fleet", "n1", ~0ULL, 7, m};
 }
 
-TEST(Wire, WhatIsWrittenIsRead) {
+TEST(Wire, RoundTrip) {
   const auto d = peers::decode(peers::encode(example()));
   ASSERT_TRUE(d);
   const auto& m = std::get<replica::Message>(d->body);
@@ -427,7 +429,7 @@
   EXPECT_EQ(m.sums[1], ~0ULL);
 }
 
-TEST(Wire, NoBytesAreReadAsAnythingTheyAreNot) {
+TEST(Wire, InvalidBytesAreRejected) {
   Random random(7);
   const auto good = peers::encode(example());
   std::size_t read = 0;
@@ -435,14 +437,14 @@
     auto bytes = good;
     for (std::size_t n = 1 + random.below(4); n > 0; --n) bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
     if (random.chance(0.3)) bytes.resize(random.below(bytes.size()));
-    read += peers::decode(bytes).has_value();  // some are another good message; none may end the process
+    read += peers::decode(bytes).has_value();  // some are other valid messages; none may crash the process
   }
   EXPECT_LT(read, 20'000U);
   EXPECT_FALSE(peers::decode(""));
   EXPECT_FALSE(peers::decode(std::string(65'000, '\x93')));
 }
 
-TEST(Wire, AKindOfALaterVersionIsLeftOutAndItsNumberCounts) {
+TEST(Wire, RecordKindOfALaterVersionIsIgnoredButItsNumberCounts) {
   replica::Message m = pages({{kA, 0, 2, false, {record(1, static_cast<Kind>(200), "new", "?"), record(2, Kind::use, "u", "1")}}});
   const auto d = peers::decode(peers::encode({"fleet", "n1", 1, 1, m}));
   ASSERT_TRUE(d);
@@ -452,7 +454,7 @@
   EXPECT_NE(r.find(kA, Kind::use, "u"), nullptr);
 }
 
-TEST(Wire, OnlyTheRightKeyOpensAndEachCounterCountsOnce) {
+TEST(Wire, OnlyTheRightKeyOpensAndEachCounterIsAcceptedOnce) {
   const auto key = peers::key_of("one"), other = peers::key_of("other");
   auto bytes = peers::sealed(key, "text");
   EXPECT_TRUE(peers::opened(key, bytes));
@@ -465,15 +467,15 @@
   EXPECT_FALSE(seen.first("a", 1, 5));
   EXPECT_TRUE(seen.first("a", 1, 4));  // out of order
   EXPECT_TRUE(seen.first("a", 1, 5000));
-  EXPECT_FALSE(seen.first("a", 1, 6));  // too long ago to tell
+  EXPECT_FALSE(seen.first("a", 1, 6));  // too old to be checked for a replay
   EXPECT_TRUE(seen.first("a", 1, 4999));
   EXPECT_FALSE(seen.first("a", 1, 4999));
-  EXPECT_TRUE(seen.first("a", 2, 5));  // another life
+  EXPECT_TRUE(seen.first("a", 2, 5));  // another incarnation
 }
 
 // ---- Schedules ----------------------------------------------------------------------------------------------
 
-TEST(Schedules, AreReadAsTheyAreWritten) {
+TEST(Schedules, RoundTrip) {
   for (std::uint64_t seed = 1; seed < 50; ++seed) {
     const auto s = faults::random_schedule(seed, 5);
     const auto read = faults::schedule_of(faults::to_toml(s));
@@ -482,7 +484,7 @@
   }
 }
 
-TEST(Schedules, BadOnesAreRefusedWithLineAndField) {
+TEST(Schedules, InvalidOnesAreRejectedWithLineAndField) {
   const auto why = [](const std::string& text) {
     try {
       faults::schedule_of(text);
@@ -498,7 +500,7 @@
   EXPECT_NE(why("nodes = ").find("line 1"), std::string::npos);
 }
 
-TEST(Schedules, AreMadeSmallWhileTheyFail) {
+TEST(Schedules, FailingOnesAreMinimized) {
   const auto s = faults::random_schedule(3, 6, {.least = 12, .most = 12, .span = 10, .kinds = {}});
   ASSERT_EQ(s.faults.size(), 12U);
   const auto wanted = s.faults[7];
@@ -510,9 +512,9 @@
   EXPECT_LE(small.faults[0].length, 0.2);
 }
 
-// ---- For people ---------------------------------------------------------------------------------------------
+// ---- Operator output ----------------------------------------------------------------------------------------
 
-TEST(FleetTable, NamesMembersStatesAndConflicts) {
+TEST(FleetTable, ListsMembersStatesAndConflicts) {
   peers::PeerOptions o;
   o.self = {"n0", 10, 1, "127.0.0.1:1", ""};
   o.fleet_size = 2;
