--- a/rigs/faults/links.hpp
+++ b/rigs/faults/links.hpp
@@ -30,11 +30,11 @@
     if (!a && !b) continue;
     if (f.kind == Kind::loss && f.amount > loss) loss = f.amount;
     if (f.kind == Kind::repeat && f.amount > twice) twice = f.amount;
-    if (f.kind == Kind::delay) takes += random.part() * f.amount / 1000;
+    if (f.kind == Kind::delay) takes += random.fraction() * f.amount / 1000;
   }
   if (random.chance(loss)) return {};
   std::vector<double> all{takes};
-  if (random.chance(twice)) all.push_back(takes + random.part() * 3);
+  if (random.chance(twice)) all.push_back(takes + random.fraction() * 3);
   return all;
 }
 
--- a/rigs/faults/schedule.cpp
+++ b/rigs/faults/schedule.cpp
@@ -37,7 +37,7 @@
   const auto count = mix.least + random.below(mix.most - mix.least + 1);
   double last_loss = -10;
   for (std::size_t i = 0; i < count; ++i) {
-    Fault f{.kind = kinds[random.below(kinds.size())], .at = rounded(1 + random.part() * mix.span)};
+    Fault f{.kind = kinds[random.below(kinds.size())], .at = rounded(1 + random.fraction() * mix.span)};
     std::vector<std::size_t> all(nodes);
     for (std::size_t n = 0; n < nodes; ++n) all[n] = n;
     random.shuffle(all);
@@ -45,13 +45,13 @@
     all.resize(one || nodes < 3 ? 1 : 1 + random.below(nodes / 2));
     std::sort(all.begin(), all.end());
     f.whom = all;
-    f.length = rounded(0.1 + random.part() * random.part() * 10);
+    f.length = rounded(0.1 + random.fraction() * random.fraction() * 10);
     switch (f.kind) {
       case Kind::loss:
-      case Kind::repeat: f.amount = rounded(0.05 + random.part() * 0.5); break;
-      case Kind::delay: f.amount = rounded(20 + random.part() * 480); break;
-      case Kind::slow_store: f.amount = rounded(5 + random.part() * 60); break;
-      case Kind::older_clock: f.amount = std::round(100 + random.part() * 3'600'000); f.length = 0; break;
+      case Kind::repeat: f.amount = rounded(0.05 + random.fraction() * 0.5); break;
+      case Kind::delay: f.amount = rounded(20 + random.fraction() * 480); break;
+      case Kind::slow_store: f.amount = rounded(5 + random.fraction() * 60); break;
+      case Kind::older_clock: f.amount = std::round(100 + random.fraction() * 3'600'000); f.length = 0; break;
       case Kind::empty_store:  // a store that loses its counts while a loss is being settled is a matter of its own
         if (std::abs(f.at - last_loss) < 5) f.at = rounded(last_loss + 5);
         last_loss = std::max(last_loss, f.at);
@@ -60,7 +60,7 @@
       case Kind::power:  // one that is still coming back is a matter of its own
         if (std::abs(f.at - last_loss) < 5) f.at = rounded(last_loss + 5);
         last_loss = std::max(last_loss, f.at);
-        f.amount = random.chance(0.7) ? 1 : 0, f.length = rounded(0.1 + random.part() * 2);
+        f.amount = random.chance(0.7) ? 1 : 0, f.length = rounded(0.1 + random.fraction() * 2);
         if (random.chance(0.5)) f.whom.clear();
         break;
       case Kind::kill:
--- a/rigs/faults/world.cpp
+++ b/rigs/faults/world.cpp
@@ -56,7 +56,7 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       nodes_[i].index = i;
       nodes_[i].offset = Instant(static_cast<std::int64_t>(random_.below(100'000'000)));
-      at(of(random_.part() * 0.3), [this, i] { start(i); });
+      at(of(random_.fraction() * 0.3), [this, i] { start(i); });
     }
     for (const auto& f : schedule_.faults) at(of(f.at), [this, &f] { begin(f); });
     // Half-way through the quiet copies are compared while there are some, at its end all.
@@ -167,7 +167,7 @@
     carry_out(i, timed([&] { return n.peer->begin(clock(n)); }));
     hear_list(i, true);
     wake(i);
-    at(now_ + of(random_.part() / options_.calls_per_s), [this, i, g = n.generation] { call(i, g); });
+    at(now_ + of(random_.fraction() / options_.calls_per_s), [this, i, g = n.generation] { call(i, g); });
   }
   // ---- A disk ---------------------------------------------------------------------------------------------
   void open_disk(std::size_t i) {
@@ -183,7 +183,7 @@
     if (!c) return;
     auto& n = nodes_[i];
     n.under_way = std::move(c);
-    at(now_ + of(0.001 + random_.part() * 0.005), [this, i, g = n.generation] {
+    at(now_ + of(0.001 + random_.fraction() * 0.005), [this, i, g = n.generation] {
       auto& k = nodes_[i];
       if (k.generation != g || !k.up) return;
       const auto done = *std::exchange(k.under_way, std::nullopt);
@@ -272,14 +272,14 @@
 
   // How long the event loop of a node would have been held up.
   template <class F>
-  peers::Out timed(F call) {
+  peers::Actions timed(F call) {
     if (!options_.timed) return call();
     const auto from = std::chrono::steady_clock::now();
     auto out = call();
     verdict_.call_us.push_back(std::chrono::duration<float, std::micro>(std::chrono::steady_clock::now() - from).count());
     return out;
   }
-  void carry_out(std::size_t i, peers::Out out) {
+  void carry_out(std::size_t i, peers::Actions out) {
     auto& n = nodes_[i];
     for (auto& d : out.datagrams) transmit(i, d.to, std::move(d.bytes));
     for (const auto& t : out.servers) told_of_server(n, t);
@@ -317,15 +317,15 @@
     }
     for (const auto& [who, m] : n.peer->members().all()) {
       auto& seen = n.starts_seen[who];
-      if (m.life.start < seen) broken(name(n.index) + " goes back to an older start of " + who);
-      seen = std::max(seen, m.life.start);
+      if (m.incarnation.start < seen) broken(name(n.index) + " goes back to an older start of " + who);
+      seen = std::max(seen, m.incarnation.start);
       const auto& other = nodes_[static_cast<std::size_t>(std::stoul(who.substr(1)))];
-      if (m.state == members::State::left && other.up && m.life.number == other.life && !other.left)
+      if (m.state == members::State::left && other.up && m.incarnation.number == other.life && !other.left)
         broken(name(n.index) + " holds " + who + " to have left, which it never did");
       if (m.state == members::State::dead) {
         if (!n.dead_since.contains(who)) {
           n.dead_since[who] = now_;
-          if (other.up && !other.paused && other.life == m.life.number) ++verdict_.false_deaths;
+          if (other.up && !other.paused && other.life == m.incarnation.number) ++verdict_.false_deaths;
           if (!other.up && other.died_at >= Instant(0)) verdict_.detect_s.push_back(to_s(now_ - other.died_at)), ++verdict_.deaths;
         }
       } else {
@@ -347,7 +347,7 @@
     ++verdict_.datagrams, verdict_.bytes += bytes.size();
     fingerprint_ = mixed(fingerprint_ ^ from, bytes.data(), std::min<std::size_t>(bytes.size(), 16));
     if (to >= nodes_.size()) return;
-    const auto takes = of(0.0002 + random_.part() * 0.0018);
+    const auto takes = of(0.0002 + random_.fraction() * 0.0018);
     const Noise noise{options_.noise ? 0.005 : 0, options_.noise ? options_.repeats : 0};
     const auto shared = std::make_shared<std::string>(std::move(bytes));
     for (const auto more : ways(schedule_.faults, to_s(now_), from, to, noise, random_))
@@ -376,7 +376,7 @@
     auto& n = nodes_[i];
     if (n.generation != generation || !n.up) return;
     if (now_ >= traffic_until_) return;  // calls that are seconds apart would come behind it
-    at(now_ + of((0.5 + random_.part()) / options_.calls_per_s), [this, i, generation] { call(i, generation); });
+    at(now_ + of((0.5 + random_.fraction()) / options_.calls_per_s), [this, i, generation] { call(i, generation); });
     if (n.paused || !n.warm || n.left) return;
     Instant began{};
     const auto name = count_of(random_.below(options_.members), n, began);
@@ -396,7 +396,7 @@
     double slow = 0;
     for (const auto& f : schedule_.faults)
       if (active(f) && f.kind == Kind::slow_store && names(f, i)) slow = std::max(slow, f.amount / 1000);
-    const auto takes = of(0.0005 + random_.part() * 0.001 + slow * (0.5 + random_.part()));
+    const auto takes = of(0.0005 + random_.fraction() * 0.001 + slow * (0.5 + random_.fraction()));
     n.store_busy = std::max(n.store_busy, now_ + takes);  // one connection: in order
     // Units of before a loss are handed back in the records alone.
     if (!tells && asked_ < add.amount) counts_[add.name].ever += asked_ - add.amount, counts_[add.name].handed += add.amount - asked_,
@@ -418,7 +418,7 @@
       }
       call->total = c.ever, call->in_records = c.in_records, call->stored = c.in_store, call->executed = now_, call->done = true;
     });
-    const auto back = n.store_busy + of(0.0005 + random_.part() * 0.001);
+    const auto back = n.store_busy + of(0.0005 + random_.fraction() * 0.001);
     n.store_busy = back;
     // Answers of one connection come in order: behind one that does not come, none does before its time is up.
     const bool late = std::max(back, n.answers_until) - sent > kCallLimit;
@@ -591,7 +591,7 @@
         if (lists_.empty()) lists_.emplace_back(1, list_before);
         lists_.emplace_back(revision_, list());
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
-          const auto hears = names(f, i) ? of(f.end()) : now_ + of(random_.part() * 0.2);
+          const auto hears = names(f, i) ? of(f.end()) : now_ + of(random_.fraction() * 0.2);
           at(hears, [this, i] { hear_list(i, false); });
         }
         break;
@@ -608,7 +608,7 @@
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
           if (!nodes_[i].up) continue;
           stop(i);
-          at(names(f, i) ? of(f.end() + f.length) : now_ + of(random_.part() * f.length), [this, i] { start(i); });
+          at(names(f, i) ? of(f.end() + f.length) : now_ + of(random_.fraction() * f.length), [this, i] { start(i); });
         }
         break;
       case Kind::repeat: forge(); break;
@@ -622,17 +622,17 @@
     const auto& n = nodes_[victim];
     m.kind = members::Message::Kind::ping;
     m.from.who = {"n" + std::to_string((victim + 1) % nodes_.size()), 1, 4711, address((victim + 1) % nodes_.size()), ""};
-    m.rumours.push_back({{name(victim), static_cast<std::uint64_t>(clock(n).count() / 1'000'000), n.life, address(victim), ""}, 1'000'000, members::State::left});
+    m.updates.push_back({{name(victim), static_cast<std::uint64_t>(clock(n).count() / 1'000'000), n.life, address(victim), ""}, 1'000'000, members::State::left});
     peers::Key wrong{};
     wrong[0] = 1;
-    const auto bytes = peers::sealed(wrong, peers::encode({options_.peer.cluster, m.from.who.name, 4711, 1, m}));
+    const auto bytes = peers::add_mac(wrong, peers::encode({options_.peer.cluster, m.from.who.name, 4711, 1, m}));
     auto garbled = bytes;
     for (auto& c : garbled) c = static_cast<char>(c ^ static_cast<char>(random_.below(256)));
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (i == victim) continue;
-      at(now_ + of(random_.part()), [this, i, bytes] { deliver(i, bytes); });
-      at(now_ + of(random_.part()), [this, i, garbled] { deliver(i, garbled); });
-      at(now_ + of(random_.part()), [this, i] { deliver(i, std::string(65'000, 'x')); });
+      at(now_ + of(random_.fraction()), [this, i, bytes] { deliver(i, bytes); });
+      at(now_ + of(random_.fraction()), [this, i, garbled] { deliver(i, garbled); });
+      at(now_ + of(random_.fraction()), [this, i] { deliver(i, std::string(65'000, 'x')); });
     }
   }
 
@@ -641,7 +641,7 @@
     for (const auto& other : nodes_) {
       if (&other == &n) continue;
       const auto* m = n.peer->members().find(name(other.index));
-      if (other.up && (!m || m->state != members::State::alive || m->life.number != other.life)) return false;
+      if (other.up && (!m || m->state != members::State::alive || m->incarnation.number != other.life)) return false;
       if (!other.up && m && m->state <= members::State::suspect) return false;
     }
     return true;
@@ -698,7 +698,7 @@
     for (const auto& other : nodes_) {
       if (&other == &n) continue;
       const auto* m = n.peer->members().find(name(other.index));
-      const bool right = m && other.up == (m->state <= members::State::suspect) && (!other.up || m->life.number == other.life);
+      const bool right = m && other.up == (m->state <= members::State::suspect) && (!other.up || m->incarnation.number == other.life);
       if (!right) s += name(other.index) + (other.up ? " lives, " : " is down, ") + (m ? members::name_of(m->state) : "unknown") + "; ";
     }
     return s;
--- a/rigs/powerloss/main.cpp
+++ b/rigs/powerloss/main.cpp
@@ -87,7 +87,7 @@
     std::iota(order.begin(), order.end(), 0);
     random_.shuffle(order);
     std::vector<double> at;
-    for (std::size_t i = 0; i < order.size(); ++i) at.push_back(random_.part() * kReturn);
+    for (std::size_t i = 0; i < order.size(); ++i) at.push_back(random_.fraction() * kReturn);
     std::sort(at.begin(), at.end());
     fleet_->fault({.kind = Kind::delay, .whom = {order[0], order[1]}, .at = fleet_->now(), .length = 2, .amount = 60});
     std::vector<bool> let_in(fleet_->size());
--- a/src/members/members.cpp
+++ b/src/members/members.cpp
@@ -10,10 +10,10 @@
 constexpr unsigned kRaises = 2;  // a start is raised so often against one other life: then both live
 
 // A rumour is news to an entry: a later start, or of one life a later word, or a worse state of the same word.
-bool newer(const Rumour& r, const Members::Member& m) {
-  if (planted(Plant::dead_life_believed) && r.who.number != m.life.number && r.state == State::alive) return true;
-  if (r.who.number != m.life.number) return std::pair(r.who.start, r.who.number) > std::pair(m.life.start, m.life.number);
-  if (r.who.start != m.life.start) return r.who.start > m.life.start;
+bool newer(const MemberUpdate& r, const Members::Member& m) {
+  if (injected(TestFault::dead_life_believed) && r.who.number != m.incarnation.number && r.state == State::alive) return true;
+  if (r.who.number != m.incarnation.number) return std::pair(r.who.start, r.who.number) > std::pair(m.incarnation.start, m.incarnation.number);
+  if (r.who.start != m.incarnation.start) return r.who.start > m.incarnation.start;
   if (r.refutes != m.refutes) return r.refutes > m.refutes;
   return r.state > m.state;
 }
@@ -30,16 +30,16 @@
   return "?";
 }
 
-Members::Members(Life self, Limits limits, std::uint64_t seed)
+Members::Members(Incarnation self, Limits limits, std::uint64_t seed)
     : self_(std::move(self)), limits_(limits), random_(seed) {}
 
-Out Members::begin(Instant now, std::vector<std::string> seeds) {
-  Out out;
+Actions Members::begin(Instant now, std::vector<std::string> seeds) {
+  Actions out;
   begun_ = true;
   seeds_ = std::move(seeds);
   last_tick_ = now;
   // Fleets that start together do not probe together.
-  next_probe_ = now + std::chrono::duration_cast<Instant>(limits_.interval * random_.part());
+  next_probe_ = now + std::chrono::duration_cast<Instant>(limits_.interval * random_.fraction());
   next_rejoin_ = now + limits_.interval;
   for (const auto& s : seeds_)
     if (s != self_.address) send(out, s, message(Message::Kind::join));
@@ -57,8 +57,8 @@
   return t;
 }
 
-Out Members::tick(Instant now) {
-  Out out;
+Actions Members::tick(Instant now) {
+  Actions out;
   if (!begun_) return out;
   // This process was stopped, or its machine was: what came meanwhile is not read yet, so nobody is doubted for that time.
   const auto late = now - last_tick_;
@@ -89,10 +89,10 @@
     for (const auto* h : helpers) {
       if (probe_->asked == limits_.helpers) break;
       auto m = message(Message::Kind::ping_for, probe_->number);
-      m.to = h->life.name;
+      m.to = h->incarnation.name;
       m.target = probe_->name;
       m.address = address_of(probe_->name);
-      send(out, h->life.address, std::move(m));
+      send(out, h->incarnation.address, std::move(m));
       ++probe_->asked;
     }
   }
@@ -123,7 +123,7 @@
   return std::nullopt;
 }
 
-void Members::start_probe(Instant now, Out& out) {
+void Members::start_probe(Instant now, Actions& out) {
   next_probe_ = now + stretched(limits_.interval);
   if (probe_) end_probe(now, out);
   const auto name = next_to_probe();
@@ -134,7 +134,7 @@
   send(out, address_of(*name), std::move(m));
 }
 
-void Members::end_probe(Instant now, Out& out) {
+void Members::end_probe(Instant now, Actions& out) {
   const auto p = std::exchange(probe_, std::nullopt);
   if (p->acked) return;
   // Helpers that did not even say that they heard nothing: it is rather this node that is not heard.
@@ -161,7 +161,7 @@
 }
 
 // The time runs from the first doubt on; each further doubter shortens it.
-void Members::suspect(Instant now, Member& m, const std::string& by, Out& out) {
+void Members::suspect(Instant now, Member& m, const std::string& by, Actions& out) {
   if (m.state > State::suspect) return;
   const bool first = m.state == State::alive;
   if (first) {
@@ -170,19 +170,19 @@
   }
   if (!m.doubted_by.insert(by).second) return;
   m.deadline = m.since + suspicion_of(m.doubted_by.size());
-  if (first || m.doubted_by.size() <= limits_.helpers + 1) spread(m.life.name);
+  if (first || m.doubted_by.size() <= limits_.helpers + 1) spread(m.incarnation.name);
 }
 
-void Members::set_state(Instant now, Member& m, State state, Out& out) {
+void Members::set_state(Instant now, Member& m, State state, Actions& out) {
   if (m.state == state) return;
   if (m.state <= State::suspect && state > State::suspect) --alive_;
   if (m.state > State::suspect && state <= State::suspect) ++alive_;
   m.state = state, m.since = now;
-  out.changes.push_back({m.life.name, state, false});
-  out.log.push_back(m.life.name + " is " + name_of(state));
+  out.changes.push_back({m.incarnation.name, state, false});
+  out.log.push_back(m.incarnation.name + " is " + name_of(state));
 }
 
-void Members::spread(const std::string& name) { rumours_[name] = 0; }
+void Members::spread(const std::string& name) { pending_updates_[name] = 0; }
 
 unsigned Members::repeats() const {
   const double size = static_cast<double>(alive_ + 1);
@@ -200,30 +200,30 @@
 void Members::fill(Message& m) {
   if (m.kind == Message::Kind::table) return;
   std::vector<std::pair<unsigned, std::string>> all;
-  for (const auto& [name, times] : rumours_) all.emplace_back(times, name);
+  for (const auto& [name, times] : pending_updates_) all.emplace_back(times, name);
   std::sort(all.begin(), all.end());
   const auto limit = repeats();
   for (const auto& [sent, name] : all) {
-    if (m.rumours.size() >= limits_.most_rumours) break;
-    if (std::ranges::any_of(m.rumours, [&](const auto& r) { return r.who.name == name; })) continue;
-    if (const auto* k = find(name)) m.rumours.push_back({k->life, k->refutes, k->state});
-    if (++rumours_[name] >= limit) rumours_.erase(name);
+    if (m.updates.size() >= limits_.most_rumours) break;
+    if (std::ranges::any_of(m.updates, [&](const auto& r) { return r.who.name == name; })) continue;
+    if (const auto* k = find(name)) m.updates.push_back({k->incarnation, k->refutes, k->state});
+    if (++pending_updates_[name] >= limit) pending_updates_.erase(name);
   }
 }
 
-void Members::send(Out& out, const std::string& address, Message m) {
+void Members::send(Actions& out, const std::string& address, Message m) {
   if (address.empty()) return;
   // Who is doubted hears it with the next message to it, and can say that it lives.
   for (const auto& [name, k] : members_)
-    if (k.life.address == address && k.state != State::alive && (m.to.empty() || m.to == name))
-      m.rumours.insert(m.rumours.begin(), {k.life, k.refutes, k.state});
+    if (k.incarnation.address == address && k.state != State::alive && (m.to.empty() || m.to == name))
+      m.updates.insert(m.updates.begin(), {k.incarnation, k.refutes, k.state});
   fill(m);
   out.sends.push_back({address, std::move(m)});
 }
 
 std::string Members::address_of(const std::string& name) const {
   const auto* m = find(name);
-  return m ? m->life.address : std::string();
+  return m ? m->incarnation.address : std::string();
 }
 
 const Members::Member* Members::find(const std::string& name) const {
@@ -240,8 +240,8 @@
 
 // ---- What others say ----------------------------------------------------------------------------------------
 
-Out Members::received(Instant now, const Message& m) {
-  Out out;
+Actions Members::received(Instant now, const Message& m) {
+  Actions out;
   if (!begun_) return out;
   using Kind = Message::Kind;
   if (!m.to.empty() && m.to != self_.name) return out;  // meant for who had this address before
@@ -251,7 +251,7 @@
   } else {
     apply(now, m.from, m.from.who.name, out);
   }
-  for (const auto& r : m.rumours) r.who.name == self_.name ? about_me(r, false, out) : apply(now, r, m.from.who.name, out);
+  for (const auto& r : m.updates) r.who.name == self_.name ? about_me(r, false, out) : apply(now, r, m.from.who.name, out);
   const auto& back = m.from.who.address;
   switch (m.kind) {
     case Kind::ping: {
@@ -287,13 +287,13 @@
       t.to = m.from.who.name;
       const auto flush = [&] {
         send(out, back, t);
-        t.rumours.clear();
+        t.updates.clear();
       };
-      if (const auto* known = find(m.from.who.name)) t.rumours.push_back({known->life, known->refutes, known->state});
+      if (const auto* known = find(m.from.who.name)) t.updates.push_back({known->incarnation, known->refutes, known->state});
       for (const auto& [n, k] : members_) {
         if (n == m.from.who.name) continue;
-        t.rumours.push_back({k.life, k.refutes, k.state});
-        if (t.rumours.size() >= limits_.most_rumours) flush();
+        t.updates.push_back({k.incarnation, k.refutes, k.state});
+        if (t.updates.size() >= limits_.most_rumours) flush();
       }
       flush();
       break;
@@ -303,11 +303,11 @@
   return out;
 }
 
-void Members::apply(Instant now, const Rumour& r, const std::string& told_by, Out& out) {
+void Members::apply(Instant now, const MemberUpdate& r, const std::string& told_by, Actions& out) {
   auto it = members_.find(r.who.name);
   if (it == members_.end()) {
     if (members_.size() >= limits_.most_members || r.who.name.empty()) return;
-    it = members_.emplace(r.who.name, Member{.life = r.who, .refutes = r.refutes, .state = State::dead, .since = now}).first;
+    it = members_.emplace(r.who.name, Member{.incarnation = r.who, .refutes = r.refutes, .state = State::dead, .since = now}).first;
     order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(at_ + random_.below(order_.size() - at_ + 1)), r.who.name);
     auto& m = it->second;
     if (r.state == State::suspect) {
@@ -320,16 +320,16 @@
     return;
   }
   auto& m = it->second;
-  const bool other = r.who.number != m.life.number;
+  const bool other = r.who.number != m.incarnation.number;
   if (other && r.state <= State::suspect && m.state <= State::suspect && told_by == r.who.name && !newer(r, m))
-    m.other_life = r.who.number;  // it speaks itself, and is not the one that is believed
+    m.conflicting_incarnation = r.who.number;  // it speaks itself, and is not the one that is believed
   if (!newer(r, m)) {
-    const bool same_word = !other && r.who.start == m.life.start && r.refutes == m.refutes;
+    const bool same_word = !other && r.who.start == m.incarnation.start && r.refutes == m.refutes;
     if (same_word && r.state == State::suspect && m.state == State::suspect) suspect(now, m, told_by, out);
     return;
   }
   if (m.state == State::left && !other && r.state < State::left && r.refutes <= m.refutes) return;
-  m.life = r.who, m.refutes = r.refutes;
+  m.incarnation = r.who, m.refutes = r.refutes;
   if (other) out.changes.push_back({r.who.name, r.state, true});
   if (r.state == State::suspect) {
     if (m.state != State::alive) set_state(now, m, State::alive, out);
@@ -340,10 +340,10 @@
   spread(r.who.name);
 }
 
-void Members::about_me(const Rumour& r, bool direct, Out& out) {
+void Members::about_me(const MemberUpdate& r, bool direct, Actions& out) {
   if (r.who.number == self_.number) {
     if (r.state == State::alive || r.refutes < refutes_ || leaving_) return;
-    if (planted(Plant::no_refutation)) return;
+    if (injected(TestFault::no_refutation)) return;
     refutes_ = r.refutes + 1;
     slower(+1);
     out.log.push_back(std::string("held for ") + name_of(r.state) + ", and refutes it");
@@ -351,8 +351,8 @@
     for (const auto* k : with(State::alive)) {
       if (out.sends.size() >= limits_.helpers) break;
       auto m = message(Message::Kind::ping, ++number_);
-      m.to = k->life.name;
-      send(out, k->life.address, std::move(m));
+      m.to = k->incarnation.name;
+      send(out, k->incarnation.address, std::move(m));
     }
     return;
   }
@@ -360,7 +360,7 @@
     duplicate_ = r.who.number;
     out.log.push_back("another process lives under the name " + self_.name + ", at " + r.who.address);
   }
-  if (r.who.start < self_.start || duplicate_ != 0 || planted(Plant::restart_keeps_start)) return;
+  if (r.who.start < self_.start || duplicate_ != 0 || injected(TestFault::restart_keeps_start)) return;
   if (raised_against_.size() > 64) raised_against_.clear();
   if (++raised_against_[r.who.number] > kRaises) {
     duplicate_ = r.who.number;
@@ -371,16 +371,16 @@
 }
 
 // Halves of a cut that hold each other for dead, and seeds that were away at the start, are found again.
-void Members::look_for_the_lost(Instant now, Out& out) {
+void Members::look_for_the_lost(Instant now, Actions& out) {
   next_rejoin_ = now + (joined_ ? limits_.rejoin : limits_.interval);
   std::erase_if(members_, [&](const auto& e) {
     return e.second.state > State::suspect && now - e.second.since > limits_.keep_dead;
   });
   std::vector<std::pair<std::string, std::string>> lost;  // address, name
-  for (const auto* m : with(State::dead)) lost.emplace_back(m->life.address, m->life.name);
+  for (const auto* m : with(State::dead)) lost.emplace_back(m->incarnation.address, m->incarnation.name);
   for (const auto& s : seeds_) {
     const bool known = s == self_.address ||
-                       std::ranges::any_of(members_, [&](const auto& e) { return e.second.life.address == s; });
+                       std::ranges::any_of(members_, [&](const auto& e) { return e.second.incarnation.address == s; });
     if (!known) lost.emplace_back(s, "");
   }
   if (lost.empty()) return;
@@ -390,16 +390,16 @@
   send(out, address, std::move(m));
 }
 
-Out Members::leave() {
-  Out out;
+Actions Members::leave() {
+  Actions out;
   leaving_ = true;
   auto peers = with(State::alive);
   random_.shuffle(peers);
   const std::size_t most = std::max<std::size_t>(limits_.helpers * 2, 8);
   for (std::size_t i = 0; i < peers.size() && i < most; ++i) {
     auto m = message(Message::Kind::ping, ++number_);
-    m.to = peers[i]->life.name;
-    send(out, peers[i]->life.address, std::move(m));
+    m.to = peers[i]->incarnation.name;
+    send(out, peers[i]->incarnation.address, std::move(m));
   }
   begun_ = false;
   return out;
--- a/src/members/members.hpp
+++ b/src/members/members.hpp
@@ -23,20 +23,20 @@
 
 using Instant = std::chrono::nanoseconds;
 
-struct Life {
+struct Incarnation {
   std::string name{};
   std::uint64_t start = 0;  // grows with each start of the name
   std::uint64_t number = 0; // random
   std::string address{};      // where it hears
   std::string zone{};
-  bool same(const Life& other) const { return name == other.name && number == other.number; }
+  bool same(const Incarnation& other) const { return name == other.name && number == other.number; }
 };
 
 enum class State : std::uint8_t { alive, suspect, dead, left };
 const char* name_of(State state);
 
-struct Rumour {
-  Life who{};
+struct MemberUpdate {
+  Incarnation who{};
   std::uint32_t refutes = 0;
   State state = State::alive;
 };
@@ -45,10 +45,10 @@
   enum class Kind : std::uint8_t { ping, ack, ping_for, nack, join, table };
   Kind kind = Kind::ping;
   std::uint32_t number = 0;      // of the probe
-  Rumour from{};                   // the sender, as it sees itself
+  MemberUpdate from{};                   // the sender, as it sees itself
   std::string to{};                // name of who is meant; empty: whoever hears there
   std::string target{}, address{};   // of ping_for: who is to be probed
-  std::vector<Rumour> rumours{};
+  std::vector<MemberUpdate> updates{};
 };
 
 struct Limits {
@@ -71,7 +71,7 @@
   bool new_life = false;
 };
 
-struct Out {
+struct Actions {
   struct Send {
     std::string address{};
     Message message{};
@@ -84,31 +84,31 @@
 class Members {
  public:
   struct Member {
-    Life life{};
+    Incarnation incarnation{};
     std::uint32_t refutes = 0;
     State state = State::alive;
     Instant since{};                  // of the state
-    std::uint64_t other_life = 0;     // a second life under this name that speaks too; 0: none
+    std::uint64_t conflicting_incarnation = 0;     // a second life under this name that speaks too; 0: none
     // Under suspicion
     Instant deadline{};
     std::set<std::string> doubted_by{};
   };
 
   // `self.start`: by the clock, in ms; it is raised where a peer knows of one as high.
-  Members(Life self, Limits limits, std::uint64_t seed);
+  Members(Incarnation self, Limits limits, std::uint64_t seed);
 
   // Before begin(): a start that this name has used.
-  void above(std::uint64_t start) { self_.start = start >= self_.start ? start + 1 : self_.start; }
-  Out begin(Instant now, std::vector<std::string> seeds);
+  void raise_start_above(std::uint64_t start) { self_.start = start >= self_.start ? start + 1 : self_.start; }
+  Actions begin(Instant now, std::vector<std::string> seeds);
   // When tick() is wanted next; it may be called at any time.
   Instant due() const;
-  Out tick(Instant now);
-  Out received(Instant now, const Message& message);
+  Actions tick(Instant now);
+  Actions received(Instant now, const Message& message);
   // A planned stop: the others are told, as many as `interval` lets.
-  Out leave();
+  Actions leave();
   void set_seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
 
-  const Life& self() const { return self_; }
+  const Incarnation& self() const { return self_; }
   std::uint32_t refutes() const { return refutes_; }
   const std::map<std::string, Member>& all() const { return members_; }  // without oneself
   const Member* find(const std::string& name) const;
@@ -117,7 +117,7 @@
   bool joined() const { return joined_; }       // some peer has answered
   unsigned slowness() const { return slowness_; }
   bool duplicate() const { return duplicate_ != 0; }
-  Rumour me() const { return {self_, refutes_, leaving_ ? State::left : State::alive}; }
+  MemberUpdate me() const { return {self_, refutes_, leaving_ ? State::left : State::alive}; }
 
  private:
   struct Probe {
@@ -135,24 +135,24 @@
   };
 
   Message message(Message::Kind kind, std::uint32_t number = 0) const;
-  void send(Out& out, const std::string& address, Message m);
+  void send(Actions& out, const std::string& address, Message m);
   void fill(Message& m);
   void spread(const std::string& name);
-  void apply(Instant now, const Rumour& r, const std::string& told_by, Out& out);
-  void about_me(const Rumour& r, bool direct, Out& out);
-  void set_state(Instant now, Member& m, State state, Out& out);
-  void suspect(Instant now, Member& m, const std::string& by, Out& out);
+  void apply(Instant now, const MemberUpdate& r, const std::string& told_by, Actions& out);
+  void about_me(const MemberUpdate& r, bool direct, Actions& out);
+  void set_state(Instant now, Member& m, State state, Actions& out);
+  void suspect(Instant now, Member& m, const std::string& by, Actions& out);
   Instant suspicion_of(std::size_t doubters) const;
   Instant stretched(Instant t) const { return t * (1 + slowness_); }
   void slower(int by);
   std::optional<std::string> next_to_probe();
-  void start_probe(Instant now, Out& out);
-  void end_probe(Instant now, Out& out);
-  void look_for_the_lost(Instant now, Out& out);
+  void start_probe(Instant now, Actions& out);
+  void end_probe(Instant now, Actions& out);
+  void look_for_the_lost(Instant now, Actions& out);
   unsigned repeats() const;
   std::string address_of(const std::string& name) const;
 
-  Life self_{};
+  Incarnation self_{};
   Limits limits_;
   Random random_;
   std::uint32_t refutes_ = 0, number_ = 0;
@@ -165,7 +165,7 @@
   std::size_t at_ = 0;
   std::optional<Probe> probe_{};
   std::map<std::uint32_t, Favour> favours_{};
-  std::map<std::string, unsigned> rumours_{};  // about whom, and how often it was sent
+  std::map<std::string, unsigned> pending_updates_{};  // about whom, and how often it was sent
   Instant next_probe_{}, next_rejoin_{}, last_tick_{};
   std::map<std::uint64_t, unsigned> raised_against_{};  // other lives under my name, and how often I went above one
   std::uint64_t duplicate_ = 0;
--- a/src/members/planted.hpp
+++ b/src/members/planted.hpp
@@ -6,7 +6,7 @@
 
 namespace docklift {
 
-enum class Plant : std::uint32_t {
+enum class TestFault : std::uint32_t {
   none,
   older_copy_wins,        // a page is taken whatever its numbers say
   moved_passed_over,      // a copy counts as whole though keys have moved behind its number
@@ -33,13 +33,13 @@
 
 #ifdef DOCKLIFT_PLANTS
 // Test-only: one fault for the whole process, set by a test before it begins.
-inline Plant& plant() {
-  static Plant chosen = Plant::none;
+inline TestFault& test_fault() {
+  static TestFault chosen = TestFault::none;
   return chosen;
 }
-inline bool planted(Plant p) { return plant() == p; }
+inline bool injected(TestFault fault) { return test_fault() == fault; }
 #else
-constexpr bool planted(Plant) { return false; }
+constexpr bool injected(TestFault) { return false; }
 #endif
 
 }  // namespace docklift
--- a/src/members/random.hpp
+++ b/src/members/random.hpp
@@ -15,10 +15,10 @@
 
   std::uint64_t bits() { return engine_(); }
   // Evenly in [0, 1), in steps of 2^-53.
-  double part() { return static_cast<double>(engine_() >> 11U) * 0x1p-53; }
-  bool chance(double p) { return p > 0 && part() < p; }
+  double fraction() { return static_cast<double>(engine_() >> 11U) * 0x1p-53; }
+  bool chance(double p) { return p > 0 && fraction() < p; }
   // Evenly in [0, n); n > 0 and below 2^53.
-  std::size_t below(std::size_t n) { return static_cast<std::size_t>(part() * static_cast<double>(n)); }
+  std::size_t below(std::size_t n) { return static_cast<std::size_t>(fraction() * static_cast<double>(n)); }
   template <class T>
   void shuffle(std::vector<T>& all) {
     for (std::size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[below(i)]);
--- a/src/peers/peer.cpp
+++ b/src/peers/peer.cpp
@@ -61,8 +61,8 @@
   return all;
 }
 
-Out Peer::inherit(Instant now, std::string_view copies) {
-  Out out;
+Actions Peer::inherit(Instant now, std::string_view copies) {
+  Actions out;
   heir_ = true;
   now_ = std::max(now_, now);
   if (copies.empty()) return out;
@@ -93,17 +93,17 @@
 
 // ---- A disk -------------------------------------------------------------------------------------------------
 
-Out Peer::remember(Instant now, const recovery::Remembered& found) {
-  Out out;
+Actions Peer::remember(Instant now, const recovery::Remembered& found) {
+  Actions out;
   now_ = std::max(now_, now);
   remembers_ = true;
-  if (!planted(Plant::start_forgotten)) members_.above(found.start);
+  if (!injected(TestFault::start_forgotten)) members_.raise_start_above(found.start);
   disk_.push_back(recovery::start_of(members_.self().start));
   counts_.longest_was(found.longest);
   counts_.largest_is(found.largest);
   counts_.epoch_known(found.epoch);
   for (const auto& p : found.pages) met_before_.insert(p.origin);
-  if (!planted(Plant::disk_forgotten)) records_.received(now_, options_.self.name, {.kind = replica::Message::Kind::pages, .pages = found.pages});
+  if (!injected(TestFault::disk_forgotten)) records_.received(now_, options_.self.name, {.kind = replica::Message::Kind::pages, .pages = found.pages});
   for (const auto& w : found.words) records_.put(w.kind, w.key, w.value, w.ends);
   // Former lives of this name are over, and what the disk has of each is all there is but what was not on it yet.
   const auto longest = found.longest.count() > 0 ? found.longest : kLongestUnknown;
@@ -128,8 +128,8 @@
   return {std::move(changes), disk_number_};
 }
 
-Out Peer::durable(Instant now, std::uint64_t number) {
-  Out out;
+Actions Peer::durable(Instant now, std::uint64_t number) {
+  Actions out;
   now_ = std::max(now_, now);
   durable_ = std::max(durable_, number);
   for (auto it = writes_at_.begin(); it != writes_at_.end() && it->first <= number; it = writes_at_.erase(it)) counts_.durable(it->second);
@@ -138,8 +138,8 @@
   return out;
 }
 
-Out Peer::disk_fails(Instant now) {
-  Out out;
+Actions Peer::disk_fails(Instant now) {
+  Actions out;
   now_ = std::max(now_, now);
   if (!std::exchange(disk_fails_, true)) out.log.push_back({"recovery", "the disk refuses: this node serves without, and a loss of power finds it empty"});
   remembers_ = true;
@@ -164,7 +164,7 @@
   if (o.name == records_.self().name) return o != records_.self();
   const auto* m = members_.find(o.name);
   if (!m) return met_before_.contains(o);  // records may come before their origin is met
-  return m->life.number != o.life || m->state >= members::State::dead;
+  return m->incarnation.number != o.life || m->state >= members::State::dead;
 }
 
 // What closed lives may have added beside what they told: counted until all counts that were open then have ended.
@@ -200,7 +200,7 @@
   }
   // Who is back says first which lives of its name are over: what they told has to be here as well.
   for (const auto& [name, m] : members_.all()) {
-    const Origin o{name, m.life.number};
+    const Origin o{name, m.incarnation.number};
     if (m.state == members::State::left && !ended(o)) ++here;
     if (m.state == members::State::dead || (m.state <= members::State::suspect && !records_.find(o, Kind::node, ""))) k.nothing_lost = all_here = false;
     if (m.state > members::State::suspect) continue;
@@ -223,7 +223,7 @@
   return k;
 }
 
-void Peer::look_at_stage(Out& out) {
+void Peer::look_at_stage(Actions& out) {
   if (!options_.disk || !begun_ || stages_.stage() == recovery::Stage::full) return;
   const auto before = stages_.stage();
   const auto release = stages_.look(now_, known());
@@ -236,22 +236,22 @@
 }
 
 // Of those that the disk knew: a vector that names this life.
-void Peer::ask_whether_they_live(Out& out) {
+void Peer::ask_whether_they_live(Actions& out) {
   if (stages_.stage() != recovery::Stage::unmetered || now_ < next_ask_) return;
   next_ask_ = now_ + kAskAgain;
   std::size_t n = 0;
   for (const auto& [name, m] : members_.all()) {
-    const Origin o{name, m.life.number};
+    const Origin o{name, m.incarnation.number};
     if (m.state > members::State::suspect || !met_before_.contains(o) || met_now_.contains(o)) continue;
-    send(m.life.address, replica::Replica::ask(), out);
+    send(m.incarnation.address, replica::Replica::ask(), out);
     if (++n >= kAsked) return;
   }
 }
 
 // ---- The network --------------------------------------------------------------------------------------------
 
-Out Peer::begin(Instant now) {
-  Out out;
+Actions Peer::begin(Instant now) {
+  Actions out;
   now_ = begun_at_ = now;
   begun_ = true;
   stages_.begin(now);
@@ -273,8 +273,8 @@
   return std::min(t, std::max(counts_.due(), now_ + options_.records.round / 8));
 }
 
-Out Peer::tick(Instant now) {
-  Out out;
+Actions Peer::tick(Instant now) {
+  Actions out;
   if (!begun_) return out;
   now_ = std::max(now_, now);
   take(members_.tick(now_), out);
@@ -292,7 +292,7 @@
     next_sweep_ = now_ + kSweep;
     records_.sweep(now_, [this](const Origin& o) {
       const auto* m = members_.find(o.name);
-      return m && m->life.number == o.life;
+      return m && m->incarnation.number == o.life;
     });
     look_for_ended_lives();
     if (options_.disk) sum_raises();
@@ -310,18 +310,18 @@
 
 // ---- What comes in ------------------------------------------------------------------------------------------
 
-Out Peer::datagram(Instant now, std::string_view bytes) {
-  Out out;
+Actions Peer::datagram(Instant now, std::string_view bytes) {
+  Actions out;
   if (!begun_) return out;
   now_ = std::max(now_, now);
   ++figures_.datagrams_in, figures_.bytes_in += bytes.size();
-  const auto inside = opened(options_.key, bytes);
+  const auto inside = verify_mac(options_.key, bytes);
   if (!inside) return ++figures_.forged, out;
   const auto d = decode(*inside);
   if (!d) return ++figures_.unreadable, out;
   if (d->cluster != options_.cluster) return ++figures_.strangers, out;
   if (d->name == options_.self.name && d->life == options_.self.number) return out;
-  if (!seen_.first(d->name, d->life, d->counter)) return ++figures_.replays, out;
+  if (!replay_filter_.accept(d->name, d->life, d->counter)) return ++figures_.replays, out;
   if (const auto* m = std::get_if<members::Message>(&d->body)) {
     if (m->from.who.name != d->name || m->from.who.number != d->life) return ++figures_.unreadable, out;
     take(members_.received(now_, *m), out);
@@ -336,28 +336,28 @@
   return out;
 }
 
-void Peer::take(members::Out&& from, Out& out) {
+void Peer::take(members::Actions&& from, Actions& out) {
   for (auto& s : from.sends) send(s.address, std::move(s.message), out);
   for (auto& l : from.log) out.log.push_back({"members", std::move(l)});
   for (const auto& c : from.changes) changed(c, out);
 }
 
-void Peer::changed(const members::Change& c, Out& out) {
+void Peer::changed(const members::Change& c, Actions& out) {
   const auto* m = members_.find(c.name);
   if (!m) return;
   look_for_ended_lives();
   if (c.state >= members::State::dead) counts_.fellows_changed();
 #ifdef DOCKLIFT_PLANTS
-  if (c.state == members::State::dead && planted(Plant::drain_fades)) records_.lose(c.name);
+  if (c.state == members::State::dead && injected(TestFault::drain_fades)) records_.lose(c.name);
 #endif
   // Who is back has missed something, and has something that was missed here.
-  if (c.state == members::State::alive && caught_up_) send(m->life.address, replica::Replica::ask(), out);
+  if (c.state == members::State::alive && caught_up_) send(m->incarnation.address, replica::Replica::ask(), out);
   if (!caught_up_) next_ask_ = std::min(next_ask_, now_);
 }
 
-void Peer::take(replica::Out&& from, Out& out) {
+void Peer::take(replica::Out&& from, Actions& out) {
   for (auto& s : from.sends)
-    if (const auto* m = members_.find(s.to)) send(m->life.address, std::move(s.message), out);
+    if (const auto* m = members_.find(s.to)) send(m->incarnation.address, std::move(s.message), out);
   for (const auto& c : from.conflicts) out.log.push_back({"records", "CONFLICT of " + c.origin.name + "/" + hex(c.origin.life) + ": " + c.what});
   for (const auto& [origin, r] : from.changed) {
     if (r.kind == Kind::word && options_.drains) {
@@ -371,7 +371,7 @@
   }
 }
 
-void Peer::take(replica::Counts::Out&& from, Out& out) {
+void Peer::take(replica::Counts::Out&& from, Actions& out) {
   std::ranges::move(from.adds, std::back_inserter(out.adds));
   std::ranges::move(from.answers, std::back_inserter(out.answers));
   if (from.lost) {
@@ -387,17 +387,17 @@
   }
 }
 
-void Peer::take(std::vector<replica::Words::Told>&& told, Out& out) {
+void Peer::take(std::vector<replica::Words::Told>&& told, Actions& out) {
   for (const auto& t : told)
     out.log.push_back({"drains", "server " + std::to_string(t.id) + (t.draining ? " is drained by another node's word" : " serves again by this node's list")});
   std::ranges::move(told, std::back_inserter(out.servers));
 }
 
 std::string Peer::frame(Body body) {
-  return sealed(options_.key, encode({options_.cluster, options_.self.name, options_.self.number, ++counter_, std::move(body)}));
+  return add_mac(options_.key, encode({options_.cluster, options_.self.name, options_.self.number, ++counter_, std::move(body)}));
 }
 
-void Peer::send(const std::string& address, Body body, Out& out) {
+void Peer::send(const std::string& address, Body body, Actions& out) {
   auto bytes = frame(std::move(body));
   if (bytes.size() > kMostDatagram) {  // a name or an address of great length: said, as what is in it is missing elsewhere
     ++figures_.too_long;
@@ -408,13 +408,13 @@
 
 // ---- A start ------------------------------------------------------------------------------------------------
 
-void Peer::ask_some(Out& out) {
+void Peer::ask_some(Actions& out) {
   next_ask_ = now_ + kAskAgain;
   std::size_t n = 0;
   for (const auto& name : reachable()) {
     auto& a = asked_[name];
     if (!a.answered || a.named.size() < a.origins) {
-      send(members_.find(name)->life.address, replica::Replica::ask(), out);
+      send(members_.find(name)->incarnation.address, replica::Replica::ask(), out);
       if (++n >= kAsked) break;
     }
   }
@@ -434,7 +434,7 @@
   }
 }
 
-void Peer::look_whether_caught_up(Out& out) {
+void Peer::look_whether_caught_up(Actions& out) {
   if (caught_up_ || asked_.empty()) return;
   std::size_t whole = 0;
   for (const auto& [name, a] : asked_) {
@@ -461,14 +461,14 @@
 bool Peer::beliefs_due(Instant now) const {
   return options_.beliefs && !beliefs_told_ && !starts_.empty() && (caught_up_ || now - begun_at_ >= options_.warm_limit);
 }
-void Peer::tell_beliefs(Out& out) {
+void Peer::tell_beliefs(Actions& out) {
   if (!beliefs_due(now_)) return;
   beliefs_told_ = true;
   std::vector<replica::Beliefs::Server> servers;
   for (const auto& [id, start] : starts_) servers.push_back({id, start});
   std::vector<Origin> living;
   for (const auto& [name, m] : members_.all())
-    if (m.state == members::State::alive) living.push_back({name, m.life.number});
+    if (m.state == members::State::alive) living.push_back({name, m.incarnation.number});
   for (auto& t : beliefs_.believed(servers, living)) {
     ++believed_;
     out.log.push_back({"beliefs", "server " + std::to_string(t.id) + " serves others badly: " +
@@ -482,7 +482,7 @@
 bool Peer::ended(const Origin& o) const {
   if (o == records_.self()) return false;
   const auto* m = members_.find(o.name);
-  if (o.name != records_.self().name && (!m || m->life.number == o.life)) return false;
+  if (o.name != records_.self().name && (!m || m->incarnation.number == o.life)) return false;
   const auto* last = records_.find(o, Kind::node, "");
   return !last || last->value.empty() || last->value[0] != static_cast<char>(NodeState::left);
 }
@@ -498,7 +498,7 @@
 std::vector<Origin> Peer::alive() const {
   std::vector<Origin> all;
   for (const auto& [name, m] : members_.all())
-    if (m.state <= members::State::suspect) all.push_back({name, m.life.number});
+    if (m.state <= members::State::suspect) all.push_back({name, m.incarnation.number});
   return all;
 }
 
@@ -506,10 +506,10 @@
 bool Peer::lost_since(Instant since) const {
   std::size_t accounted = 1;
   for (const auto& [name, m] : members_.all()) {
-    if (m.other_life != 0 && !(options_.disk && is_closed({name, m.other_life}))) return true;
+    if (m.conflicting_incarnation != 0 && !(options_.disk && is_closed({name, m.conflicting_incarnation}))) return true;
     if (m.state == members::State::dead) return true;
     if (m.state == members::State::left) {
-      const auto* r = records_.find({name, m.life.number}, Kind::node, "");
+      const auto* r = records_.find({name, m.incarnation.number}, Kind::node, "");
       if ((!r || r->value.empty() || r->value[0] != static_cast<char>(NodeState::left)) && m.since >= since) return true;
     }
     ++accounted;
@@ -526,16 +526,16 @@
 
 // ---- The node -----------------------------------------------------------------------------------------------
 
-Out Peer::state(Instant now, NodeState state) {
-  Out out;
+Actions Peer::state(Instant now, NodeState state) {
+  Actions out;
   now_ = std::max(now_, now);
   state_ = state;
   records_.put(Kind::node, "", node_text(state, options_.file_version));
   return out;
 }
 
-Out Peer::leave(Instant now) {
-  Out out;
+Actions Peer::leave(Instant now) {
+  Actions out;
   if (!begun_) return out;
   now_ = std::max(now_, now);
   counts_.write(now_);
@@ -553,8 +553,8 @@
   members_.set_seeds(std::move(seeds));
 }
 
-Out Peer::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries) {
-  Out out;
+Actions Peer::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries) {
+  Actions out;
   now_ = std::max(now_, now);
   if (whole) starts_.clear();
   for (const auto& e : entries) {
@@ -574,22 +574,22 @@
   if (const auto it = starts_.find(server); it != starts_.end()) beliefs_.seen(now_, {server, it->second}, good);
 }
 
-Out Peer::add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime) {
-  Out out;
+Actions Peer::add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime) {
+  Actions out;
   now_ = std::max(now_, now);
   take(counts_.add(now_, name, amount, lifetime), out);
   return out;
 }
 
-Out Peer::store_answered(Instant now, const snowknot::CountAnswer& answer) {
-  Out out;
+Actions Peer::store_answered(Instant now, const snowknot::CountAnswer& answer) {
+  Actions out;
   now_ = std::max(now_, now);
   take(counts_.answered(now_, answer), out);
   return out;
 }
 
-Out Peer::store_lost(Instant now, const snowknot::CountsLost& lost) {
-  Out out;
+Actions Peer::store_lost(Instant now, const snowknot::CountsLost& lost) {
+  Actions out;
   now_ = std::max(now_, now);
   take(counts_.lost(now_, lost), out);
   return out;
@@ -601,7 +601,7 @@
   using nlohmann::json;
   const auto ms = [](Instant t) { return t.count() / 1'000'000; };
   json members = json::array();
-  const auto entry = [&](const members::Life& life, std::uint32_t refutes, const char* state, Instant since) {
+  const auto entry = [&](const members::Incarnation& life, std::uint32_t refutes, const char* state, Instant since) {
     const auto* r = records_.find({life.name, life.number}, Kind::node, "");
     return json{{"name", life.name},       {"state", state},       {"start", life.start},     {"life", hex(life.number)},
                 {"refutes", refutes},      {"zone", life.zone},    {"address", life.address}, {"age_ms", ms(now - since)},
@@ -609,8 +609,8 @@
                 {"file", r && r->value.size() > 1 ? r->value.substr(1) : ""}};
   };
   for (const auto& [name, m] : members_.all()) {
-    auto e = entry(m.life, m.refutes, members::name_of(m.state), m.since);
-    if (m.other_life != 0) e["second_life"] = hex(m.other_life);
+    auto e = entry(m.incarnation, m.refutes, members::name_of(m.state), m.since);
+    if (m.conflicting_incarnation != 0) e["second_life"] = hex(m.conflicting_incarnation);
     members.push_back(std::move(e));
   }
   json vector = json::object();
--- a/src/peers/peer.hpp
+++ b/src/peers/peer.hpp
@@ -29,7 +29,7 @@
 struct PeerOptions {
   std::string cluster = "docklift";
   Key key{};
-  members::Life self{};
+  members::Incarnation self{};
   std::vector<std::string> seeds{};
   std::uint32_t fleet_size = 1;  // nodes in all, as the platform tells it
   std::string file_version{};      // of the operator's file
@@ -43,7 +43,7 @@
   recovery::StageLimits stages{};
 };
 
-struct Out {
+struct Actions {
   struct Datagram {
     std::string to{}, bytes{};
   };
@@ -71,9 +71,9 @@
   // Copies for a process that takes this one's place, and what that one does with them before it begins: it knows then what was known here,
   // drains above all, and is ready without having asked anybody. What can't be read is passed over.
   std::string copies() const;
-  Out inherit(Instant now, std::string_view copies);
+  Actions inherit(Instant now, std::string_view copies);
   // With a disk, before begin(): what it had, or nothing where it can't be read.
-  Out remember(Instant now, const recovery::Remembered& found);
+  Actions remember(Instant now, const recovery::Remembered& found);
   // What is to be written down since the last call. Once all of it is on the disk: durable() with `number`.
   struct ToDisk {
     std::vector<recovery::Change> changes{};
@@ -81,25 +81,25 @@
   };
   ToDisk to_disk();
   bool has_for_disk() const { return options_.disk && (records_.changed() || !disk_.empty()); }
-  Out durable(Instant now, std::uint64_t number);
+  Actions durable(Instant now, std::uint64_t number);
   // It refuses: what is new is not written down, and the node serves without.
-  Out disk_fails(Instant now);
-  Out begin(Instant now);
+  Actions disk_fails(Instant now);
+  Actions begin(Instant now);
   Instant due() const;
-  Out tick(Instant now);
-  Out datagram(Instant now, std::string_view bytes);
-  Out state(Instant now, NodeState state);
+  Actions tick(Instant now);
+  Actions datagram(Instant now, std::string_view bytes);
+  Actions state(Instant now, NodeState state);
   // The last word: what is not told yet goes out, then nothing more.
-  Out leave(Instant now);
+  Actions leave(Instant now);
   void set_seeds(std::vector<std::string> seeds);
 
-  Out listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries);
+  Actions listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries);
   // An attempt at a server of the list has ended.
   void seen(Instant now, std::uint32_t server, bool good);
   bool drained(std::uint32_t server) const { return words_.held(server); }
-  Out add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime);
-  Out store_answered(Instant now, const snowknot::CountAnswer& answer);
-  Out store_lost(Instant now, const snowknot::CountsLost& lost);
+  Actions add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime);
+  Actions store_answered(Instant now, const snowknot::CountAnswer& answer);
+  Actions store_lost(Instant now, const snowknot::CountsLost& lost);
 
   // Copies were taken from two others (or all there are), or the time for it is over.
   bool warm(Instant now) const;
@@ -135,15 +135,15 @@
     return sum;
   }
 
-  void take(members::Out&& from, Out& out);
-  void take(replica::Out&& from, Out& out);
-  void take(replica::Counts::Out&& from, Out& out);
-  void take(std::vector<replica::Words::Told>&& told, Out& out);
-  void changed(const members::Change& c, Out& out);
-  void send(const std::string& address, Body body, Out& out);
+  void take(members::Actions&& from, Actions& out);
+  void take(replica::Out&& from, Actions& out);
+  void take(replica::Counts::Out&& from, Actions& out);
+  void take(std::vector<replica::Words::Told>&& told, Actions& out);
+  void changed(const members::Change& c, Actions& out);
+  void send(const std::string& address, Body body, Actions& out);
   void learn_vector(const replica::Origin& from, const replica::Message& m);
-  void look_whether_caught_up(Out& out);
-  void ask_some(Out& out);
+  void look_whether_caught_up(Actions& out);
+  void ask_some(Actions& out);
   bool ended(const replica::Origin& o) const;
   void look_for_ended_lives();
   std::vector<std::string> reachable() const;
@@ -151,10 +151,10 @@
   bool beliefs_due(Instant now) const;
   recovery::Known known() const;
   bool is_closed(const replica::Origin& o) const;
-  void look_at_stage(Out& out);
+  void look_at_stage(Actions& out);
   void sum_raises();
-  void ask_whether_they_live(Out& out);
-  void tell_beliefs(Out& out);
+  void ask_whether_they_live(Actions& out);
+  void tell_beliefs(Actions& out);
 
   PeerOptions options_;
   members::Members members_;
@@ -163,7 +163,7 @@
   replica::Words words_;
   replica::Beliefs beliefs_;
   std::map<std::uint32_t, std::uint64_t> starts_{};  // of the servers of the list
-  Seen seen_;
+  ReplayFilter replay_filter_;
   std::uint64_t counter_ = 0;
   Instant now_{}, begun_at_{}, next_sweep_{}, next_write_{}, next_ask_{};
   bool heir_ = false, begun_ = false, caught_up_ = false, beliefs_told_ = false;
--- a/src/peers/station.cpp
+++ b/src/peers/station.cpp
@@ -28,7 +28,7 @@
 }
 
 // A line of log as a JSON object, so that many nodes' lines can be laid side by side.
-void print(Instant now, const std::string& node, const Out::Line& l) {
+void print(Instant now, const std::string& node, const Actions::Line& l) {
   note(nlohmann::json{{"ms", now.count() / 1'000'000}, {"node", node}, {"room", l.room}, {"text", l.text}}.dump(
       -1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
@@ -155,7 +155,7 @@
 // ---- What Peer decides --------------------------------------------------------------------------------------
 
 // In order: what an action brings about at once waits until the actions before it are done.
-void Station::carry_out(Out out) {
+void Station::carry_out(Actions out) {
   outs_.push_back(std::move(out));
   if (std::exchange(performing_, true)) return;
   while (!outs_.empty()) {
@@ -168,7 +168,7 @@
   arm();
 }
 
-void Station::perform(Out& out) {
+void Station::perform(Actions& out) {
   for (const auto& l : out.log) print(now(), options_.peer.self.name, l);
   for (const auto& d : out.datagrams) {
     const auto to = endpoint_of(d.to);
--- a/src/peers/station.hpp
+++ b/src/peers/station.hpp
@@ -58,8 +58,8 @@
   void write_down();
   void bind();
   void receive();
-  void carry_out(Out out);
-  void perform(Out& out);
+  void carry_out(Actions out);
+  void perform(Actions& out);
   void arm();
   void tell(const replica::Words::Told& told, std::vector<snowknot::Discovery::Entry>& entries);
   std::optional<Udp::endpoint> endpoint_of(const std::string& address);
@@ -75,7 +75,7 @@
   snowknot::Node* node_ = nullptr;
   Store* store_ = nullptr;
   std::unordered_map<snowknot::ServerId, snowknot::Discovery::Entry> servers_;  // as one's own list has them
-  std::deque<Out> outs_;
+  std::deque<Actions> outs_;
   bool performing_ = false, open_ = false, left_ = false, said_busy_ = false, heir_ = false;
   snowknot::Timers::Handle tick_, again_;
   std::optional<Instant> armed_;
--- a/src/peers/wire.cpp
+++ b/src/peers/wire.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using nlohmann::json;
-using members::Life;
-using members::Rumour;
+using members::Incarnation;
+using members::MemberUpdate;
 
 constexpr std::size_t kMark = 16;
 
@@ -20,11 +20,11 @@
   return {b.begin(), b.end()};
 }
 
-json to_json(const Rumour& r) {
+json to_json(const MemberUpdate& r) {
   return json::array({r.who.name, r.who.start, r.who.number, r.who.address, r.who.zone, r.refutes, static_cast<unsigned>(r.state)});
 }
-Rumour rumour_of(const json& j) {
-  Rumour r;
+MemberUpdate parse_update(const json& j) {
+  MemberUpdate r;
   r.who = {j.at(0).get<std::string>(), j.at(1).get<std::uint64_t>(), j.at(2).get<std::uint64_t>(), j.at(3).get<std::string>(),
            j.at(4).get<std::string>()};
   r.refutes = j.at(5).get<std::uint32_t>();
@@ -35,9 +35,9 @@
 }
 
 json to_json(const members::Message& m) {
-  json rumours = json::array();
-  for (const auto& r : m.rumours) rumours.push_back(to_json(r));
-  return json::array({static_cast<unsigned>(m.kind), m.number, to_json(m.from), m.to, m.target, m.address, std::move(rumours)});
+  json updates = json::array();
+  for (const auto& r : m.updates) updates.push_back(to_json(r));
+  return json::array({static_cast<unsigned>(m.kind), m.number, to_json(m.from), m.to, m.target, m.address, std::move(updates)});
 }
 members::Message members_message(const json& j) {
   members::Message m;
@@ -45,11 +45,11 @@
   if (kind > static_cast<unsigned>(members::Message::Kind::table)) throw std::invalid_argument("kind");
   m.kind = static_cast<members::Message::Kind>(kind);
   m.number = j.at(1).get<std::uint32_t>();
-  m.from = rumour_of(j.at(2));
+  m.from = parse_update(j.at(2));
   m.to = j.at(3).get<std::string>();
   m.target = j.at(4).get<std::string>();
   m.address = j.at(5).get<std::string>();
-  for (const auto& r : j.at(6)) m.rumours.push_back(rumour_of(r));
+  for (const auto& r : j.at(6)) m.updates.push_back(parse_update(r));
   return m;
 }
 
@@ -122,7 +122,7 @@
   return key;
 }
 
-std::string sealed(const Key& key, std::string_view bytes) {
+std::string add_mac(const Key& key, std::string_view bytes) {
   std::string out(kMark, '\0');
   crypto_generichash(reinterpret_cast<unsigned char*>(out.data()), kMark, reinterpret_cast<const unsigned char*>(bytes.data()),
                      bytes.size(), key.data(), key.size());
@@ -130,15 +130,15 @@
   return out;
 }
 
-std::optional<std::string_view> opened(const Key& key, std::string_view datagram) {
+std::optional<std::string_view> verify_mac(const Key& key, std::string_view datagram) {
   if (datagram.size() <= kMark) return std::nullopt;
   const auto bytes = datagram.substr(kMark);
-  const auto right = sealed(key, bytes);
-  if (sodium_memcmp(right.data(), datagram.data(), kMark) != 0 && !planted(Plant::any_mark_accepted)) return std::nullopt;
+  const auto right = add_mac(key, bytes);
+  if (sodium_memcmp(right.data(), datagram.data(), kMark) != 0 && !injected(TestFault::any_mark_accepted)) return std::nullopt;
   return bytes;
 }
 
-bool Seen::first(const std::string& name, std::uint64_t life, std::uint64_t counter) {
+bool ReplayFilter::accept(const std::string& name, std::uint64_t life, std::uint64_t counter) {
   if (counter == 0) return false;
   auto it = lives_.find({name, life});
   if (it == lives_.end()) {
--- a/src/peers/wire.hpp
+++ b/src/peers/wire.hpp
@@ -35,15 +35,15 @@
 Key key_of(std::string_view secret);
 
 // A mark of 16 bytes ahead of the bytes: keyed BLAKE2b (libsodium).
-std::string sealed(const Key& key, std::string_view bytes);
+std::string add_mac(const Key& key, std::string_view bytes);
 // What is behind the mark, if the mark is right.
-std::optional<std::string_view> opened(const Key& key, std::string_view datagram);
+std::optional<std::string_view> verify_mac(const Key& key, std::string_view datagram);
 
 // Counters that have been seen of each life, so that a datagram counts once: the last 1024, bounded in lives.
-class Seen {
+class ReplayFilter {
  public:
-  explicit Seen(std::size_t most_lives = 4096) : most_(most_lives) {}
-  bool first(const std::string& name, std::uint64_t life, std::uint64_t counter);
+  explicit ReplayFilter(std::size_t most_lives = 4096) : most_(most_lives) {}
+  bool accept(const std::string& name, std::uint64_t life, std::uint64_t counter);
 
  private:
   static constexpr std::size_t kWindow = 1024;
--- a/src/recovery/stages.cpp
+++ b/src/recovery/stages.cpp
@@ -41,12 +41,12 @@
     if (known.shut > Instant{}) shut = std::max(shut.value_or(Instant{}), known.shut);
     return Release{shut, std::move(why)};
   };
-  if (planted(Plant::released_at_once)) return full({}, "");
+  if (injected(TestFault::released_at_once)) return full({}, "");
   if (known.caught_up && known.nothing_lost) return full({}, "nobody was lost");
   if (known.caught_up && known.all_told) return full({}, "all that were lost are back, with all that they passed");
   if (known.caught_up && known.other_serves) return full({}, "another node serves that knows");
   if (now - entered_ < limits_.verify) return waits_for_ = known.caught_up ? "lives that are over without a last word" : "copies of two others", std::nullopt;
-  if (planted(Plant::time_shuts_nothing)) return full({}, "");
+  if (injected(TestFault::time_shuts_nothing)) return full({}, "");
   return full(now + limits_.clocks, "what the lost have passed is not known in time: windows that had begun stay shut");
 }
 
--- a/src/replica/beliefs.cpp
+++ b/src/replica/beliefs.cpp
@@ -105,12 +105,12 @@
     records_.each(Kind::seen, key_of(server.id), [&](const Origin& o, const Record& r) {
       const auto s = sight_of(r.value);
       if (!s || s->start != server.start || s->tenths == Sight::kNothing) return;
-      if (std::ranges::find(alive, o) == alive.end() && !planted(Plant::dead_believed)) return;
+      if (std::ranges::find(alive, o) == alive.end() && !injected(TestFault::dead_believed)) return;
       words.push_back(s->tenths);
     });
-    if (words.size() < 2 && !(planted(Plant::one_voice_believed) && words.size() == 1)) continue;
+    if (words.size() < 2 && !(injected(TestFault::one_voice_believed) && words.size() == 1)) continue;
     std::ranges::sort(words, std::greater<>());
-    const auto middle = planted(Plant::one_voice_believed) ? words.back() : words[(words.size() - 1) / 2];
+    const auto middle = injected(TestFault::one_voice_believed) ? words.back() : words[(words.size() - 1) / 2];
     if (middle < kWell) told.push_back({server.id, middle / 10.0});
   }
   std::ranges::stable_sort(told, {}, &Told::success);
--- a/src/replica/counts.cpp
+++ b/src/replica/counts.cpp
@@ -95,7 +95,7 @@
 // back: then a loss is seen that there was not, and that costs units, not the ceiling.)
 std::int64_t Counts::least_of_the_gone(CountName name) const {
   std::int64_t sum = 0;
-  if (planted(Plant::gone_not_looked_at)) return sum;
+  if (injected(TestFault::gone_not_looked_at)) return sum;
   records_.each(Kind::use, key_of(name), [&](const Origin& o, const Record& r) {
     if (o == records_.self() || !fellows_.gone(o)) return;
     for (const auto& u : uses_of(r.value)) sum += u.epoch == epoch_ ? u.least() : 0;
@@ -246,7 +246,7 @@
     // And all that was said before it: what an origin has changed again since comes behind it.
     all = all && r && number_of_key(r->value) >= epoch_ && records_.whole_at(o) >= r->number;
   }
-  if (planted(Plant::settled_too_early)) all = ended_said_;
+  if (injected(TestFault::settled_too_early)) all = ended_said_;
   const auto since = now - std::max(longest_, Instant(std::chrono::seconds(1))) - limits_.margin;
   const bool unknown = !copies_whole_ || fellows_.lost_since(since) || overflowed_ >= since;
   if (all && !unknown) {
@@ -272,7 +272,7 @@
 Counts::Sums Counts::sums(CountName name) const {
   Sums sum;
   const auto key = key_of(name);
-  const auto alive = planted(Plant::use_of_the_dead_lost) ? fellows_.alive() : std::vector<Origin>{};
+  const auto alive = injected(TestFault::use_of_the_dead_lost) ? fellows_.alive() : std::vector<Origin>{};
   // Of lives that are over the disk may know the call and not its answer, and nobody takes anything back: with a disk what they added at most.
   const auto count = [&](const Use& u, std::int64_t times, bool most) {
     if (u.epoch < epoch_) {
@@ -283,9 +283,9 @@
   };
   records_.each(Kind::use, key, [&](const Origin& o, const Record& r) {
     if (o == records_.self()) return;  // one's own are at hand, and newer
-    if (planted(Plant::use_of_the_dead_lost) && std::ranges::find(alive, o) == alive.end()) return;
-    const bool most = limits_.ahead && fellows_.gone(o) && !planted(Plant::gone_not_looked_at);
-    for (const auto& u : uses_of(r.value)) count(u, planted(Plant::use_counted_twice) ? 2 : 1, most);
+    if (injected(TestFault::use_of_the_dead_lost) && std::ranges::find(alive, o) == alive.end()) return;
+    const bool most = limits_.ahead && fellows_.gone(o) && !injected(TestFault::gone_not_looked_at);
+    for (const auto& u : uses_of(r.value)) count(u, injected(TestFault::use_counted_twice) ? 2 : 1, most);
   });
   if (const auto it = books_.find(name); it != books_.end())
     for (const auto& u : it->second.uses) count(u, 1, false);
@@ -293,7 +293,7 @@
     if (r.value.size() == 16 && get_number(r.value, 0) == epoch_) sum.told += static_cast<std::int64_t>(get_number(r.value, 8));
   };
   records_.each(Kind::told, key, told);
-  if (planted(Plant::told_taken_off_early)) records_.each(Kind::telling, key, told);
+  if (injected(TestFault::told_taken_off_early)) records_.each(Kind::telling, key, told);
   if (limits_.ahead) {
     const auto it = books_.find(name);
     sum.before += static_cast<std::int64_t>(fellows_.raise(it == books_.end() ? Instant{} : it->second.began));
@@ -324,14 +324,14 @@
     const auto weight = [&](const std::string& member) { return mixed(static_cast<std::uint64_t>(name), member.data(), member.size()); };
     const auto mine = weight(records_.self().name);
     const bool teller = std::ranges::none_of(alive, [&](const Origin& o) { return weight(o.name) > mine; });
-    if (!teller && !planted(Plant::told_by_everyone)) continue;
+    if (!teller && !injected(TestFault::told_by_everyone)) continue;
     bool begun = false;  // by one before, also one that has died since: if it was added is not known, so it stays on top
     records_.each(Kind::telling, key, [&](const Origin&, const Record& r) {
       begun = begun || (r.value.size() == 16 && get_number(r.value, 0) == epoch_);
     });
     const auto known = sums(name);
     const auto lacks = known.before - known.told;
-    if ((begun && !planted(Plant::told_by_everyone)) || lacks <= kSlop) continue;
+    if ((begun && !injected(TestFault::told_by_everyone)) || lacks <= kSlop) continue;
     auto& b = books_[name];
     b.said = true;
     if (b.ends == Instant{}) b.ends = ends;
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -293,7 +293,7 @@
   auto& s = origins_[page.origin];
   if (s.fenced) return;
   s.quiet_since = now;
-  if (page.from > s.number && !planted(Plant::gap_passed_over)) {  // what is between is not here: asked for
+  if (page.from > s.number && !injected(TestFault::gap_passed_over)) {  // what is between is not here: asked for
     ++figures_.gaps;
     if (s.asked != Instant{} && now >= s.asked && now - s.asked < limits_.ask_again) return;  // it has been, a moment ago
     wants.push_back({page.origin, s.number});
@@ -310,7 +310,7 @@
   const auto before = s.number;
   for (const auto& r : page.records) {
     if (r.key.size() > limits_.most_value || r.value.size() > limits_.most_value) continue;
-    if (r.number <= s.number && !planted(Plant::older_copy_wins)) {
+    if (r.number <= s.number && !injected(TestFault::older_copy_wins)) {
       // Of what is held already: the same number must say the same.
       const auto held = s.by_number.find(r.number);
       if (held == s.by_number.end()) continue;
@@ -333,7 +333,7 @@
   }
   if (page.upto > before) s.goal = std::max(s.goal, page.goal);
   s.number = std::max(s.number, page.upto);
-  if (s.number >= s.goal || planted(Plant::moved_passed_over)) s.whole = s.number;
+  if (s.number >= s.goal || injected(TestFault::moved_passed_over)) s.whole = s.number;
   if (s.number > before) s.fresh = true;
   else ++figures_.pages_late;
   if (notes_ && s.number > before) changes_.origins.insert(page.origin);
--- a/src/replica/words.cpp
+++ b/src/replica/words.cpp
@@ -69,7 +69,7 @@
   // What others say of servers that this list calls ready; and what they said that this list has overtaken.
   for (const auto& [id, e] : list_) {
     const bool named = std::ranges::any_of(entries, [&, i = id](const Entry& n) { return n.id == i; });
-    if (drained_by_others(id) && !planted(Plant::drain_undone)) {
+    if (drained_by_others(id) && !injected(TestFault::drain_undone)) {
       const bool is_new = held_.insert(id).second;
       if (is_new || named) told.push_back({id, true});
     } else if (held_.erase(id) > 0) {
--- a/tests/orderings_test.cpp
+++ b/tests/orderings_test.cpp
@@ -172,10 +172,10 @@
 TEST(Orderings, ANodesReturnIsBelievedInEveryOrderOfRumours) {
   using members::Members;
   using members::State;
-  const members::Life former{"x", 10, 1, "X", ""}, next{"x", 11, 2, "X", ""}, teller{"t", 5, 9, "T", ""};
-  const std::vector<members::Rumour> rumours{{former, 0, State::alive}, {former, 0, State::suspect}, {former, 1, State::alive}, {former, 1, State::dead},
+  const members::Incarnation former{"x", 10, 1, "X", ""}, next{"x", 11, 2, "X", ""}, teller{"t", 5, 9, "T", ""};
+  const std::vector<members::MemberUpdate> updates{{former, 0, State::alive}, {former, 0, State::suspect}, {former, 1, State::alive}, {former, 1, State::dead},
                                              {former, 1, State::left},  {next, 0, State::alive},     {next, 0, State::suspect}, {next, 1, State::alive}};
-  const auto orders = each_order(rumours.size(), {}, [&](const std::vector<std::size_t>& order) {
+  const auto orders = each_order(updates.size(), {}, [&](const std::vector<std::size_t>& order) {
     Members o({"o", 1, 3, "O", ""}, {}, 1);
     o.begin(kNow, {});
     bool returned = false;
@@ -183,14 +183,14 @@
       members::Message m;
       m.kind = members::Message::Kind::ack;
       m.from = {teller, 0, State::alive};
-      m.rumours = {rumours[e]};
+      m.updates = {updates[e]};
       o.received(kNow, m);
       const auto* x = o.find("x");
-      returned = returned || (x && x->life.number == next.number);
-      ASSERT_TRUE(!returned || x->life.number == next.number);
+      returned = returned || (x && x->incarnation.number == next.number);
+      ASSERT_TRUE(!returned || x->incarnation.number == next.number);
     }
     ASSERT_NE(o.find("x"), nullptr);
-    ASSERT_EQ(o.find("x")->life.number, next.number);
+    ASSERT_EQ(o.find("x")->incarnation.number, next.number);
     ASSERT_EQ(o.find("x")->state, State::alive);
   });
   EXPECT_EQ(orders, 40'320U);
--- a/tests/planted_test.cpp
+++ b/tests/planted_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 struct Case {
-  Plant plant;
+  TestFault plant;
   const char* name;
   const char* found_by;       // part of the property's words
   std::vector<Kind> kinds;    // of faults that bring it to light
@@ -22,25 +22,25 @@
 };
 
 const std::vector<Case> kCases{
-    {Plant::older_copy_wins, "older_copy_wins", "another copy", {Kind::repeat, Kind::delay}, 1},
-    {Plant::moved_passed_over, "moved_passed_over", "that has had", {Kind::loss, Kind::delay, Kind::pause, Kind::empty_store}, 431},
-    {Plant::gap_passed_over, "gap_passed_over", "another copy", {Kind::loss, Kind::cut}, 1},
-    {Plant::drain_undone, "drain_undone", "again, drained", {Kind::drain}, 1},
-    {Plant::drain_fades, "drain_fades", "", {Kind::drain, Kind::kill}, 54},
-    {Plant::use_counted_twice, "use_counted_twice", "of a count that has had", {Kind::empty_store}, 1},
-    {Plant::use_of_the_dead_lost, "use_of_the_dead_lost", "that has had", {Kind::leave, Kind::empty_store}, 1},
-    {Plant::dead_life_believed, "dead_life_believed", "", {Kind::kill, Kind::repeat}, 1},
-    {Plant::no_refutation, "no_refutation", "has not the fleet's members", {Kind::cut, Kind::pause}, 1},
-    {Plant::restart_keeps_start, "restart_keeps_start", "has not the fleet's members", {Kind::older_clock, Kind::kill}, 1},
-    {Plant::settled_too_early, "settled_too_early", "that has had", {Kind::empty_store, Kind::delay, Kind::slow_store}, 1},
-    {Plant::told_taken_off_early, "told_taken_off_early", "that has had", {Kind::empty_store, Kind::slow_store}, 1},
-    {Plant::told_by_everyone, "told_by_everyone", "told again twice", {Kind::empty_store}, 1},
-    {Plant::gone_not_looked_at, "gone_not_looked_at", "that has had", {Kind::power}, 1, true},
-    {Plant::released_at_once, "released_at_once", "that has had", {Kind::power, Kind::loss, Kind::cut}, 75, true},
-    {Plant::start_forgotten, "start_forgotten", "again", {Kind::power, Kind::older_clock}, 1, true},
-    {Plant::disk_forgotten, "disk_forgotten", "", {Kind::power, Kind::drain}, 1, true},
-    {Plant::time_shuts_nothing, "time_shuts_nothing", "that has had", {Kind::power, Kind::cut}, 45, true},
-    {Plant::any_mark_accepted, "any_mark_accepted", "which it never did", {Kind::repeat}, 1},
+    {TestFault::older_copy_wins, "older_copy_wins", "another copy", {Kind::repeat, Kind::delay}, 1},
+    {TestFault::moved_passed_over, "moved_passed_over", "that has had", {Kind::loss, Kind::delay, Kind::pause, Kind::empty_store}, 431},
+    {TestFault::gap_passed_over, "gap_passed_over", "another copy", {Kind::loss, Kind::cut}, 1},
+    {TestFault::drain_undone, "drain_undone", "again, drained", {Kind::drain}, 1},
+    {TestFault::drain_fades, "drain_fades", "", {Kind::drain, Kind::kill}, 54},
+    {TestFault::use_counted_twice, "use_counted_twice", "of a count that has had", {Kind::empty_store}, 1},
+    {TestFault::use_of_the_dead_lost, "use_of_the_dead_lost", "that has had", {Kind::leave, Kind::empty_store}, 1},
+    {TestFault::dead_life_believed, "dead_life_believed", "", {Kind::kill, Kind::repeat}, 1},
+    {TestFault::no_refutation, "no_refutation", "has not the fleet's members", {Kind::cut, Kind::pause}, 1},
+    {TestFault::restart_keeps_start, "restart_keeps_start", "has not the fleet's members", {Kind::older_clock, Kind::kill}, 1},
+    {TestFault::settled_too_early, "settled_too_early", "that has had", {Kind::empty_store, Kind::delay, Kind::slow_store}, 1},
+    {TestFault::told_taken_off_early, "told_taken_off_early", "that has had", {Kind::empty_store, Kind::slow_store}, 1},
+    {TestFault::told_by_everyone, "told_by_everyone", "told again twice", {Kind::empty_store}, 1},
+    {TestFault::gone_not_looked_at, "gone_not_looked_at", "that has had", {Kind::power}, 1, true},
+    {TestFault::released_at_once, "released_at_once", "that has had", {Kind::power, Kind::loss, Kind::cut}, 75, true},
+    {TestFault::start_forgotten, "start_forgotten", "again", {Kind::power, Kind::older_clock}, 1, true},
+    {TestFault::disk_forgotten, "disk_forgotten", "", {Kind::power, Kind::drain}, 1, true},
+    {TestFault::time_shuts_nothing, "time_shuts_nothing", "that has had", {Kind::power, Kind::cut}, 45, true},
+    {TestFault::any_mark_accepted, "any_mark_accepted", "which it never did", {Kind::repeat}, 1},
 };
 
 class Planted : public ::testing::TestWithParam<Case> {};
@@ -51,13 +51,13 @@
   std::string words;
   for (std::uint64_t seed = c.from; seed < c.from + 60 && found == 0; ++seed) {
     const auto schedule = random_schedule(seed, 3 + seed % 4, {.least = 3, .most = 7, .span = 12, .kinds = c.kinds});
-    plant() = c.plant;
+    test_fault() = c.plant;
     WorldOptions options;
     options.disks = c.disks;
     if (c.disks) options.window = 8;  // longer than a return takes
-    if (c.plant == Plant::older_copy_wins) options.repeats = 0.3;
+    if (c.plant == TestFault::older_copy_wins) options.repeats = 0.3;
     const auto verdict = play(schedule, options);
-    plant() = Plant::none;
+    test_fault() = TestFault::none;
     for (const auto& b : verdict.broken)
       if (b.find(c.found_by) != std::string::npos) found = seed, words = b;
     if (found != 0) {
@@ -101,12 +101,12 @@
 }
 
 TEST(PlantedBeliefs, AreFound) {
-  for (const auto p : {Plant::one_voice_believed, Plant::dead_believed}) {
+  for (const auto p : {TestFault::one_voice_believed, TestFault::dead_believed}) {
     std::uint64_t found = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-      plant() = p;
+      test_fault() = p;
       const bool broken = !wrong_beliefs(seed).empty();
-      plant() = Plant::none;
+      test_fault() = TestFault::none;
       EXPECT_TRUE(wrong_beliefs(seed).empty()) << seed;
       if (broken && found == 0) found = seed;
     }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -285,7 +285,7 @@
   members::Instant now = 1000s;
   std::vector<std::string> log{};
   std::vector<std::pair<std::string, members::Message>> under_way{};
-  void take(members::Out out) {
+  void take(members::Actions out) {
     for (auto& s : out.sends) under_way.emplace_back(s.address, std::move(s.message));
     for (auto& l : out.log) log.push_back(l);
   }
@@ -312,7 +312,7 @@
   const auto starts = std::pair(one.self().start, two.self().start);
   c.run(20s);
   EXPECT_EQ(std::pair(one.self().start, two.self().start), starts);
-  EXPECT_NE(a.find("x")->other_life, 0U);
+  EXPECT_NE(a.find("x")->conflicting_incarnation, 0U);
 }
 
 TEST(Members, AStartGoesAboveTheFormerOneAlsoWhereTheClockWentBack) {
@@ -324,7 +324,7 @@
   c.take(next.begin(c.now, {"A"}));
   c.run(2s);
   EXPECT_GT(next.self().start, 5000U);
-  EXPECT_EQ(a.find("x")->life.number, 3U);
+  EXPECT_EQ(a.find("x")->incarnation.number, 3U);
   EXPECT_EQ(a.find("x")->state, members::State::alive);
   EXPECT_FALSE(next.duplicate());
 }
@@ -454,21 +454,21 @@
 
 TEST(Wire, OnlyTheRightKeyOpensAndEachCounterCountsOnce) {
   const auto key = peers::key_of("one"), other = peers::key_of("other");
-  auto bytes = peers::sealed(key, "text");
-  EXPECT_TRUE(peers::opened(key, bytes));
-  EXPECT_FALSE(peers::opened(other, bytes));
+  auto bytes = peers::add_mac(key, "text");
+  EXPECT_TRUE(peers::verify_mac(key, bytes));
+  EXPECT_FALSE(peers::verify_mac(other, bytes));
   bytes.back() = 'x';
-  EXPECT_FALSE(peers::opened(key, bytes));
-  EXPECT_FALSE(peers::opened(key, "short"));
-  peers::Seen seen(2);
-  EXPECT_TRUE(seen.first("a", 1, 5));
-  EXPECT_FALSE(seen.first("a", 1, 5));
-  EXPECT_TRUE(seen.first("a", 1, 4));  // out of order
-  EXPECT_TRUE(seen.first("a", 1, 5000));
-  EXPECT_FALSE(seen.first("a", 1, 6));  // too long ago to tell
-  EXPECT_TRUE(seen.first("a", 1, 4999));
-  EXPECT_FALSE(seen.first("a", 1, 4999));
-  EXPECT_TRUE(seen.first("a", 2, 5));  // another life
+  EXPECT_FALSE(peers::verify_mac(key, bytes));
+  EXPECT_FALSE(peers::verify_mac(key, "short"));
+  peers::ReplayFilter replay_filter(2);
+  EXPECT_TRUE(replay_filter.accept("a", 1, 5));
+  EXPECT_FALSE(replay_filter.accept("a", 1, 5));
+  EXPECT_TRUE(replay_filter.accept("a", 1, 4));  // out of order
+  EXPECT_TRUE(replay_filter.accept("a", 1, 5000));
+  EXPECT_FALSE(replay_filter.accept("a", 1, 6));  // too long ago to tell
+  EXPECT_TRUE(replay_filter.accept("a", 1, 4999));
+  EXPECT_FALSE(replay_filter.accept("a", 1, 4999));
+  EXPECT_TRUE(replay_filter.accept("a", 2, 5));  // another life
 }
 
 // ---- Schedules ----------------------------------------------------------------------------------------------
--- a/tests/scripted_peer.hpp
+++ b/tests/scripted_peer.hpp
@@ -46,7 +46,7 @@
     o.records.round = std::chrono::milliseconds(50);
     return o;
   }
-  void carry_out(const peers::Out& out) {
+  void carry_out(const peers::Actions& out) {
     for (const auto& d : out.datagrams) {
       const auto to = snowknot::endpoint_of(d.to);
       snowknot::error_code ignored;
