--- a/src/members/planted.hpp
+++ b/src/members/planted.hpp
@@ -1,5 +1,6 @@
-// Faults that a test-only build can be told to have, so that the checkers are seen to find them. In the shipped build planted() is
-// false when it is compiled, and nothing of it is left.
+// Fault injection for tests of the checkers: a build with DOCKLIFT_PLANTS can be given one of these faults,
+// which the checkers have to detect. In the shipped build injected() is a compile-time false and no code of
+// it remains.
 #pragma once
 
 #include <cstdint>
@@ -8,31 +9,31 @@
 
 enum class TestFault : std::uint32_t {
   none,
-  older_copy_wins,        // a page is taken whatever its numbers say
-  moved_passed_over,      // a copy counts as whole though keys have moved behind its number
-  gap_passed_over,        // a page that does not join on is taken, and counts as whole
-  drain_undone,           // any list of one's own undoes what others said, also an older one
-  drain_fades,            // a drain is dropped when its teller dies
-  use_counted_twice,      // a life's use is added to what it told before
-  use_of_the_dead_lost,   // a dead node's use is left out of the sum
-  dead_life_believed,     // an older start of a name brings it back to life
-  no_refutation,          // who is suspected does not say that it lives
-  restart_keeps_start,    // a start takes the clock as it is
-  settled_too_early,      // counts are believed before all have ended the lost epoch
-  told_taken_off_early,   // telling counts as told
-  told_by_everyone,       // each node tells again
-  any_mark_accepted,      // the seal is not looked at
-  one_voice_believed,     // of servers: one word is enough, and the worst one counts
-  dead_believed,          // of servers: also of those that are dead
-  gone_not_looked_at,     // a total below what lives that are over had added shows nothing
-  released_at_once,       // service is full before it is known what the lost passed
-  start_forgotten,        // a disk's word of the last start is not taken
-  disk_forgotten,         // its copies are not read
-  time_shuts_nothing,     // when time is over windows that had begun stay open
+  older_copy_wins,    // a page is applied whatever its numbers are
+  moved_passed_over,  // a copy counts as complete though keys have moved past its number
+  gap_passed_over,    // a page that doesn't adjoin the copy is applied, and the copy counts as complete
+  drain_undone,  // any list of this node's own source undoes drains reported by others, even an older list
+  drain_fades,   // a drain is dropped when the node that reported it dies
+  use_counted_twice,     // an incarnation's use is added to what it reported before
+  use_of_the_dead_lost,  // a dead node's use is left out of the sum
+  dead_life_believed,    // an older start of a name brings it back to life
+  no_refutation,         // a suspected node doesn't refute
+  restart_keeps_start,   // a start takes the clock as its number without raising it
+  settled_too_early,     // counts are used before all nodes have ended the lost epoch
+  told_taken_off_early,  // a restore counts as done once it is started
+  told_by_everyone,      // each node restores the count, not only one
+  any_mark_accepted,     // the datagram's MAC is not verified
+  one_voice_believed,    // server health: one report is enough, and the worst one counts
+  dead_believed,         // server health: reports of dead nodes count too
+  gone_not_looked_at,    // a total below what ended incarnations had added is not taken as a loss
+  released_at_once,      // full service starts before it is known what the lost nodes had used
+  start_forgotten,       // the start number on the disk is ignored
+  disk_forgotten,        // the copies on the disk are not read
+  time_shuts_nothing,    // when the time limit is reached, windows that had begun stay open
 };
 
 #ifdef DOCKLIFT_PLANTS
-// Test-only: one fault for the whole process, set by a test before it begins.
+// The fault of this process; a test sets it before it starts.
 inline TestFault& test_fault() {
   static TestFault chosen = TestFault::none;
   return chosen;
--- a/src/members/random.hpp
+++ b/src/members/random.hpp
@@ -1,4 +1,5 @@
-// Random choices that are the same for a seed on any machine: the engine is the standard's, what is made of it is stated here.
+// Random choices that are the same for a seed on any platform: the engine is specified by the standard; the
+// distributions, which the standard leaves open, are implemented here.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +15,11 @@
   explicit Random(std::uint64_t seed) : engine_(seed) {}
 
   std::uint64_t bits() { return engine_(); }
-  // Evenly in [0, 1), in steps of 2^-53.
+  // Uniform in [0, 1), in steps of 2^-53.
   double fraction() { return static_cast<double>(engine_() >> 11U) * 0x1p-53; }
+  // True with probability `p`.
   bool chance(double p) { return p > 0 && fraction() < p; }
-  // Evenly in [0, n); n > 0 and below 2^53.
+  // Uniform in [0, n); n > 0 and below 2^53.
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(fraction() * static_cast<double>(n)); }
   template <class T>
   void shuffle(std::vector<T>& all) {
@@ -28,7 +30,8 @@
   std::mt19937_64 engine_;
 };
 
-// A mixer of 64 bits (the finaliser of splitmix64): order of tellers, ranges of origins.
+// A 64-bit mixing function (the finalizer of splitmix64), for the order of restoring nodes and the ranges of
+// origins.
 inline std::uint64_t mixed(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/peers/peer.cpp
+++ b/src/peers/peer.cpp
@@ -601,15 +601,15 @@
   using nlohmann::json;
   const auto ms = [](Instant t) { return t.count() / 1'000'000; };
   json members = json::array();
-  const auto entry = [&](const members::Incarnation& life, std::uint32_t refutes, const char* state, Instant since) {
+  const auto entry = [&](const members::Incarnation& life, std::uint32_t refutations, const char* state, Instant since) {
     const auto* r = records_.find({life.name, life.number}, Kind::node, "");
     return json{{"name", life.name},       {"state", state},       {"start", life.start},     {"life", hex(life.number)},
-                {"refutes", refutes},      {"zone", life.zone},    {"address", life.address}, {"age_ms", ms(now - since)},
+                {"refutes", refutations},  {"zone", life.zone},    {"address", life.address}, {"age_ms", ms(now - since)},
                 {"node", r && !r->value.empty() ? name_of(static_cast<NodeState>(r->value[0])) : "unknown"},
                 {"file", r && r->value.size() > 1 ? r->value.substr(1) : ""}};
   };
   for (const auto& [name, m] : members_.all()) {
-    auto e = entry(m.incarnation, m.refutes, members::name_of(m.state), m.since);
+    auto e = entry(m.incarnation, m.refutations, members::name_of(m.state), m.since);
     if (m.conflicting_incarnation != 0) e["second_life"] = hex(m.conflicting_incarnation);
     members.push_back(std::move(e));
   }
@@ -622,7 +622,7 @@
   const auto c = counts_.figures();
   const auto w = words_.figures();
   const auto b = beliefs_.figures();
-  return {{"self", entry(members_.self(), members_.refutes(), "alive", begun_at_)},
+  return {{"self", entry(members_.self(), members_.refutations(), "alive", begun_at_)},
           {"cluster", options_.cluster},
           {"fleet_size", options_.fleet_size},
           {"caught_up", caught_up_},
--- a/src/peers/sections.cpp
+++ b/src/peers/sections.cpp
@@ -97,7 +97,7 @@
   p.warm_limit = c.duration("peers.warm_limit");
   p.members.interval = c.duration("peers.interval");
   p.members.timeout = p.members.interval * 3 / 10;
-  p.members.rejoin = p.members.interval * 4;
+  p.members.rejoin_interval = p.members.interval * 4;
   p.records.round = c.duration("peers.round");
   p.records.most_records = static_cast<std::size_t>(c.whole("peers.most_records"));
   p.records.bytes_per_s = static_cast<double>(c.whole("peers.bytes_per_s"));
--- a/src/peers/wire.cpp
+++ b/src/peers/wire.cpp
@@ -21,13 +21,13 @@
 }
 
 json to_json(const MemberUpdate& r) {
-  return json::array({r.who.name, r.who.start, r.who.number, r.who.address, r.who.zone, r.refutes, static_cast<unsigned>(r.state)});
+  return json::array({r.who.name, r.who.start, r.who.number, r.who.address, r.who.zone, r.refutations, static_cast<unsigned>(r.state)});
 }
 MemberUpdate parse_update(const json& j) {
   MemberUpdate r;
   r.who = {j.at(0).get<std::string>(), j.at(1).get<std::uint64_t>(), j.at(2).get<std::uint64_t>(), j.at(3).get<std::string>(),
            j.at(4).get<std::string>()};
-  r.refutes = j.at(5).get<std::uint32_t>();
+  r.refutations = j.at(5).get<std::uint32_t>();
   const auto state = j.at(6).get<unsigned>();
   if (state > static_cast<unsigned>(members::State::left)) throw std::invalid_argument("state");
   r.state = static_cast<members::State>(state);
