--- a/rigs/faults/world.cpp
+++ b/rigs/faults/world.cpp
@@ -311,7 +311,7 @@
       const auto started = n.peer->members().self().start;
       if (options_.disks && started <= n.highest_start) broken(name(n.index) + " uses start " + std::to_string(started) + " again");
       n.highest_start = std::max(n.highest_start, started);
-      if (n.peer->fleet_is_known()) ++verdict_.warm_starts;
+      if (n.peer->has_copies()) ++verdict_.warm_starts;
       verdict_.catch_up_s.push_back(to_s(now_ - n.began));
       carry_out(n.index, timed([&] { return n.peer->state(clock(n), peers::NodeState::serving); }));
     }
--- a/src/peers/peer.cpp
+++ b/src/peers/peer.cpp
@@ -568,7 +568,7 @@
   return out;
 }
 
-void Peer::seen(Instant now, std::uint32_t server, bool good) {
+void Peer::record_attempt(Instant now, std::uint32_t server, bool good) {
   now_ = std::max(now_, now);
   if (!options_.beliefs) return;
   if (const auto it = starts_.find(server); it != starts_.end()) beliefs_.seen(now_, {server, it->second}, good);
--- a/src/peers/peer.hpp
+++ b/src/peers/peer.hpp
@@ -95,7 +95,7 @@
 
   Actions listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries);
   // An attempt at a server of the list has ended.
-  void seen(Instant now, std::uint32_t server, bool good);
+  void record_attempt(Instant now, std::uint32_t server, bool good);
   bool drained(std::uint32_t server) const { return words_.held(server); }
   Actions add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime);
   Actions store_answered(Instant now, const snowknot::CountAnswer& answer);
@@ -103,7 +103,7 @@
 
   // Copies were taken from two others (or all there are), or the time for it is over.
   bool warm(Instant now) const;
-  bool fleet_is_known() const { return caught_up_; }
+  bool has_copies() const { return caught_up_; }
   // For the door: members, vector, digest, conflicts, figures.
   nlohmann::json fleet(Instant now) const;
 
--- a/src/peers/station.cpp
+++ b/src/peers/station.cpp
@@ -219,7 +219,7 @@
 
 void Station::ended(ServerId server, snowknot::Outcome outcome) {
   using enum snowknot::Outcome;
-  if (outcome != cancelled && outcome != never_sent) peer_.seen(now(), static_cast<std::uint32_t>(server), outcome == ok);
+  if (outcome != cancelled && outcome != never_sent) peer_.record_attempt(now(), static_cast<std::uint32_t>(server), outcome == ok);
 }
 
 void Station::listed(ListKind kind, std::uint64_t revision, std::vector<Discovery::Entry>& entries) {
--- a/tests/scripted_peer.hpp
+++ b/tests/scripted_peer.hpp
@@ -29,7 +29,7 @@
 
   // It knows these servers, of one start; and says of attempts at them.
   void knows(const std::vector<replica::Words::Entry>& servers) { carry_out(peer_.listed(now(), true, 1, servers)); }
-  void seen(std::uint32_t server, bool good) { peer_.seen(now(), server, good); }
+  void seen(std::uint32_t server, bool good) { peer_.record_attempt(now(), server, good); }
   const peers::Peer& peer() const { return peer_; }
 
  private:
