--- a/src/peers/peer.cpp
+++ b/src/peers/peer.cpp
@@ -9,14 +9,19 @@
 using replica::Kind;
 using replica::Origin;
 
-constexpr std::size_t kAsked = 2;              // peers whose copies make a start warm
-constexpr Instant kSweep = std::chrono::seconds(1), kAskAgain = std::chrono::milliseconds(200);
-constexpr Instant kLongestUnknown = std::chrono::minutes(1);  // of a count, where the disk does not tell
-constexpr Instant kLongAgo = std::chrono::minutes(5);  // no window of a count is as long
-
-constexpr std::size_t kClosedSize = 24;  // up to which number, thousandths beside, when
-const std::string kNoDisk = "disk";  // key of a node's word that its disk refuses
-const std::string kLost = "lost";    // and until when windows that had begun were left shut
+constexpr std::size_t kCopySources = 2;  // nodes to fetch copies from at a start
+constexpr Instant kSweep = std::chrono::seconds(1), kRequestInterval = std::chrono::milliseconds(200);
+// Assumed as the longest lifetime of a count if the disk doesn't hold it.
+constexpr Instant kDefaultCountLifetime = std::chrono::minutes(1);
+constexpr Instant kReplacedRetention = std::chrono::minutes(5);  // longer than the window of any count
+
+// Value of a record that closes an incarnation: its last record number, the thousandths of a unit that it may
+// have used without reporting, and the time.
+constexpr std::size_t kClosedRecordBytes = 24;
+// Keys of records of the kind that closes windows: the node's disk has failed; and until when windows that
+// had begun were kept closed after a loss.
+const std::string kDiskFailedKey = "disk";
+const std::string kLossKey = "lost";
 
 std::string hex(std::uint64_t n) {
   std::array<char, 17> text{};
@@ -24,7 +29,9 @@
   return text.data();
 }
 
-std::string node_text(NodeState s, const std::string& version) { return static_cast<char>(s) + version; }
+std::string encode_node_state(NodeState s, const std::string& version) {
+  return static_cast<char>(s) + version;
+}
 
 }  // namespace
 
@@ -63,7 +70,7 @@
 
 Actions Peer::inherit(Instant now, std::string_view copies) {
   Actions out;
-  heir_ = true;
+  inherited_ = true;
   now_ = std::max(now_, now);
   if (copies.empty()) return out;
   const bool whole = copies.front() == '1';
@@ -80,224 +87,250 @@
   }
   caught_up_ = whole;
   if (epoch == 0 || !options_.counts) return out;
-  // Where counts of before the last loss are still open, this life has to settle it for itself, as any that starts; else there is nothing to mend.
-  bool open = false;
+  // If counts from before the last loss are still open, this incarnation settles the loss itself, as after
+  // any start; otherwise there is nothing to repair.
+  bool has_open_counts = false;
   for (const auto& key : records_.keys(Kind::use))
     records_.each(Kind::use, key, [&](const Origin&, const replica::Record& r) {
-      for (const auto& u : replica::uses_of(r.value)) open = open || (u.epoch < epoch && u.most() > 0);
+      for (const auto& u : replica::uses_of(r.value))
+        has_open_counts = has_open_counts || (u.epoch < epoch && u.most() > 0);
     });
-  if (open) take(counts_.epoch_heard(now_, epoch), out);
+  if (has_open_counts) collect(counts_.epoch_heard(now_, epoch), out);
   else counts_.epoch_known(epoch);
   return out;
 }
 
-// ---- A disk -------------------------------------------------------------------------------------------------
+// ---- The disk ---------------------------------------------------------------------------------------------
 
 Actions Peer::remember(Instant now, const recovery::Remembered& found) {
   Actions out;
   now_ = std::max(now_, now);
-  remembers_ = true;
+  disk_read_ = true;
   if (!injected(TestFault::start_forgotten)) members_.raise_start_above(found.start);
-  disk_.push_back(recovery::start_of(members_.self().start));
+  pending_changes_.push_back(recovery::start_of(members_.self().start));
   counts_.longest_was(found.longest);
   counts_.largest_is(found.largest);
   counts_.epoch_known(found.epoch);
-  for (const auto& p : found.pages) met_before_.insert(p.origin);
-  if (!injected(TestFault::disk_forgotten)) records_.received(now_, options_.self.name, {.kind = replica::Message::Kind::pages, .pages = found.pages});
+  for (const auto& p : found.pages) known_from_disk_.insert(p.origin);
+  if (!injected(TestFault::disk_forgotten))
+    records_.received(now_, options_.self.name,
+                      {.kind = replica::Message::Kind::pages, .pages = found.pages});
   for (const auto& w : found.words) records_.put(w.kind, w.key, w.value, w.ends);
-  // Former lives of this name are over, and what the disk has of each is all there is but what was not on it yet.
-  const auto longest = found.longest.count() > 0 ? found.longest : kLongestUnknown;
+  // Earlier incarnations of this name have ended. The disk holds everything of them except what had not been
+  // synced, which is bounded by most_undurable().
+  const auto longest = found.longest.count() > 0 ? found.longest : kDefaultCountLifetime;
   for (const auto& f : found.former) {
     if (f.life == options_.self.number) continue;
-    const auto beside = f.left ? 0 : counts_.most_undurable();
-    records_.put(Kind::closed, replica::number_key(f.life), replica::to_text(f.number, found.damaged ? ~0ULL : beside) + replica::number_key(static_cast<std::uint64_t>(now_.count())),
+    const auto unreported = f.left ? 0 : counts_.most_undurable();
+    records_.put(Kind::closed, replica::number_key(f.life),
+                 replica::to_text(f.number, found.damaged ? ~0ULL : unreported) +
+                     replica::number_key(static_cast<std::uint64_t>(now_.count())),
                  now_ + longest + options_.count_limits.margin);
   }
-  out.log.push_back({"recovery", found.empty() ? "the disk knows nothing of this node"
-                                               : "the disk knows of " + std::to_string(found.pages.size()) + " lives, " +
-                                                     std::to_string(found.former.size()) + " of this name" + (found.damaged ? "; it is DAMAGED" : "")});
-  sum_raises();
+  out.log.push_back({"recovery", found.empty()
+                                     ? "the disk knows nothing of this node"
+                                     : "the disk holds " + std::to_string(found.pages.size()) +
+                                           " incarnations, " + std::to_string(found.former.size()) +
+                                           " of this name" + (found.damaged ? "; it is DAMAGED" : "")});
+  recompute_unreported_units();
   return out;
 }
 
 Peer::ToDisk Peer::to_disk() {
   auto changes = recovery::changes_of(records_);
-  for (auto& c : std::exchange(disk_, {})) changes.push_back(std::move(c));
-  if (disk_fails_) writes_at_.clear();  // nobody waits for it any more
-  writes_at_[++disk_number_] = counts_.writes();
-  return {std::move(changes), disk_number_};
+  for (auto& c : std::exchange(pending_changes_, {})) changes.push_back(std::move(c));
+  if (disk_failed_) count_writes_.clear();  // no call waits for the disk any more
+  count_writes_[++last_batch_] = counts_.writes();
+  return {std::move(changes), last_batch_};
 }
 
 Actions Peer::durable(Instant now, std::uint64_t number) {
   Actions out;
   now_ = std::max(now_, now);
-  durable_ = std::max(durable_, number);
-  for (auto it = writes_at_.begin(); it != writes_at_.end() && it->first <= number; it = writes_at_.erase(it)) counts_.durable(it->second);
-  if (largest_number_ != 0 && number >= largest_number_) counts_.largest_is(largest_), largest_number_ = 0;
-  look_at_stage(out);
+  durable_batch_ = std::max(durable_batch_, number);
+  for (auto it = count_writes_.begin(); it != count_writes_.end() && it->first <= number;
+       it = count_writes_.erase(it))
+    counts_.durable(it->second);
+  if (largest_add_batch_ != 0 && number >= largest_add_batch_)
+    counts_.largest_is(largest_add_), largest_add_batch_ = 0;
+  update_stage(out);
   return out;
 }
 
-Actions Peer::disk_fails(Instant now) {
+Actions Peer::on_disk_failure(Instant now) {
   Actions out;
   now_ = std::max(now_, now);
-  if (!std::exchange(disk_fails_, true)) out.log.push_back({"recovery", "the disk refuses: this node serves without, and a loss of power finds it empty"});
-  remembers_ = true;
-  // What this life passes from here on its disk will not know: it can't be closed by it.
-  records_.put(Kind::shut, kNoDisk, "");
+  if (!std::exchange(disk_failed_, true))
+    out.log.push_back(
+        {"recovery", "the disk refuses: this node goes on without it, and a loss of power loses its state"});
+  disk_read_ = true;
+  // The disk won't hold what this incarnation uses from now on, so a later one can't close it from the disk.
+  records_.put(Kind::shut, kDiskFailedKey, "");
   counts_.without_disk();
-  look_at_stage(out);
+  update_stage(out);
   return out;
 }
 
 bool Peer::is_closed(const Origin& o) const {
-  if (records_.find(o, Kind::shut, kNoDisk)) return false;
-  bool so = false;
+  if (records_.find(o, Kind::shut, kDiskFailedKey)) return false;
+  bool closed = false;
   records_.each(Kind::closed, replica::number_key(o.life), [&](const Origin& by, const replica::Record& r) {
-    so = so || (by.name == o.name && r.value.size() == kClosedSize && records_.whole_at(o) >= replica::get_number(r.value, 0) &&
-                replica::get_number(r.value, 8) != ~0ULL);
+    closed = closed || (by.name == o.name && r.value.size() == kClosedRecordBytes &&
+                        records_.whole_at(o) >= replica::get_number(r.value, 0) &&
+                        replica::get_number(r.value, 8) != ~0ULL);
   });
-  return so;
+  return closed;
 }
 
 bool Peer::gone(const Origin& o) const {
   if (o.name == records_.self().name) return o != records_.self();
   const auto* m = members_.find(o.name);
-  if (!m) return met_before_.contains(o);  // records may come before their origin is met
+  if (!m) return known_from_disk_.contains(o);  // records may arrive before membership knows their origin
   return m->incarnation.number != o.life || m->state >= members::State::dead;
 }
 
-// What closed lives may have added beside what they told: counted until all counts that were open then have ended.
-void Peer::sum_raises() {
-  raises_.clear();
+// What closed incarnations may have used beyond what they reported. It is added to each count until all
+// counts that were open at the time of closing have ended.
+void Peer::recompute_unreported_units() {
+  unreported_units_.clear();
   for (const auto& key : records_.keys(Kind::closed)) {
     std::uint64_t most = 0;
     Instant when{};
     records_.each(Kind::closed, key, [&](const Origin&, const replica::Record& r) {
-      if (r.value.size() != kClosedSize || r.ends <= now_) return;
-      const auto beside = replica::get_number(r.value, 8);
-      if (beside != ~0ULL) most = std::max(most, beside);
+      if (r.value.size() != kClosedRecordBytes || r.ends <= now_) return;
+      const auto unreported = replica::get_number(r.value, 8);
+      if (unreported != ~0ULL) most = std::max(most, unreported);
       when = std::max(when, Instant(static_cast<std::int64_t>(replica::get_number(r.value, 16))));
     });
-    if (most > 0) raises_.emplace_back(when, most);
+    if (most > 0) unreported_units_.emplace_back(when, most);
   }
 }
 
 recovery::Known Peer::known() const {
   recovery::Known k;
-  k.read = remembers_;
-  k.durable = disk_fails_ || durable_ > 0;
+  k.read = disk_read_;
+  k.durable = disk_failed_ || durable_batch_ > 0;
   k.caught_up = caught_up_;
   if (!caught_up_) return k;
-  std::size_t here = 1 + members_.alive();
-  bool all_here = true;
+  std::size_t present = 1 + members_.alive();
+  bool all_present = true;
   k.nothing_lost = true;
   for (const auto& [o, number] : records_.vector()) {
     const auto* last = records_.find(o, Kind::node, "");
     if (!gone(o) || (last && !last->value.empty() && last->value[0] == static_cast<char>(NodeState::left))) continue;
-    if (!is_closed(o)) all_here = false;
+    if (!is_closed(o)) all_present = false;
     k.nothing_lost = false;
   }
-  // Who is back says first which lives of its name are over: what they told has to be here as well.
+  // A node that has returned first publishes which incarnations of its name have ended; their records have to
+  // be complete here too.
   for (const auto& [name, m] : members_.all()) {
     const Origin o{name, m.incarnation.number};
-    if (m.state == members::State::left && !ended(o)) ++here;
-    if (m.state == members::State::dead || (m.state <= members::State::suspect && !records_.find(o, Kind::node, ""))) k.nothing_lost = all_here = false;
+    if (m.state == members::State::left && !replaced(o)) ++present;
+    if (m.state == members::State::dead ||
+        (m.state <= members::State::suspect && !records_.find(o, Kind::node, "")))
+      k.nothing_lost = all_present = false;
     if (m.state > members::State::suspect) continue;
-    // What the disk knew may have died with this node, and be heard of by a late datagram.
-    if (met_before_.contains(o) && !met_now_.contains(o)) {
-      k.nothing_lost = all_here = false;
+    // An incarnation known from the disk may have ended together with this node and be reported by a delayed
+    // datagram.
+    if (known_from_disk_.contains(o) && !confirmed_.contains(o)) {
+      k.nothing_lost = all_present = false;
       continue;
     }
-    const auto* through = records_.find(o, Kind::shut, "");
-    if (through && (met_before_.contains(o) || replica::number_of_key(through->value) > 0)) k.other_serves = true;
+    const auto* released = records_.find(o, Kind::shut, "");
+    if (released && (known_from_disk_.contains(o) || replica::number_of_key(released->value) > 0))
+      k.other_serves = true;
   }
-  records_.each(Kind::shut, kLost, [&](const Origin&, const replica::Record& r) {
+  records_.each(Kind::shut, kLossKey, [&](const Origin&, const replica::Record& r) {
     k.shut = std::max(k.shut, Instant(static_cast<std::int64_t>(replica::number_of_key(r.value))));
   });
   for (const auto& key : records_.keys(Kind::closed))
     records_.each(Kind::closed, key, [&](const Origin& by, const replica::Record& r) {
-      if (r.value.size() == kClosedSize && records_.whole_at({by.name, replica::number_of_key(key)}) < replica::get_number(r.value, 0)) all_here = false;
+      if (r.value.size() == kClosedRecordBytes &&
+          records_.whole_at({by.name, replica::number_of_key(key)}) < replica::get_number(r.value, 0))
+        all_present = false;
     });
-  k.all_told = all_here && here >= options_.fleet_size;
+  k.all_told = all_present && present >= options_.fleet_size;
   return k;
 }
 
-void Peer::look_at_stage(Actions& out) {
-  if (!options_.disk || !begun_ || stages_.stage() == recovery::Stage::full) return;
+void Peer::update_stage(Actions& out) {
+  if (!options_.disk || !started_ || stages_.stage() == recovery::Stage::full) return;
   const auto before = stages_.stage();
   const auto release = stages_.look(now_, known());
   if (stages_.stage() != before) out.log.push_back({"recovery", std::string("stage ") + recovery::name_of(stages_.stage()) + (release ? ": " + release->why : "")});
   if (!release) return;
-  sum_raises();
+  recompute_unreported_units();
   records_.put(Kind::shut, "", replica::number_key(static_cast<std::uint64_t>(release->shut.value_or(Instant{}).count())));
   records_.hurry();
-  take(counts_.release(now_, release->shut), out);
+  collect(counts_.release(now_, release->shut), out);
 }
 
-// Of those that the disk knew: a vector that names this life.
-void Peer::ask_whether_they_live(Actions& out) {
-  if (stages_.stage() != recovery::Stage::unmetered || now_ < next_ask_) return;
-  next_ask_ = now_ + kAskAgain;
+// Asks the members known from the disk for a version vector that names this incarnation, which shows that
+// they are running now.
+void Peer::confirm_remembered_members(Actions& out) {
+  if (stages_.stage() != recovery::Stage::unmetered || now_ < next_request_) return;
+  next_request_ = now_ + kRequestInterval;
   std::size_t n = 0;
   for (const auto& [name, m] : members_.all()) {
     const Origin o{name, m.incarnation.number};
-    if (m.state > members::State::suspect || !met_before_.contains(o) || met_now_.contains(o)) continue;
+    if (m.state > members::State::suspect || !known_from_disk_.contains(o) || confirmed_.contains(o))
+      continue;
     send(m.incarnation.address, replica::Replica::ask(), out);
-    if (++n >= kAsked) return;
+    if (++n >= kCopySources) return;
   }
 }
 
-// ---- The network --------------------------------------------------------------------------------------------
+// ---- The network ------------------------------------------------------------------------------------------
 
 Actions Peer::begin(Instant now) {
   Actions out;
-  now_ = begun_at_ = now;
-  begun_ = true;
+  now_ = started_at_ = now;
+  started_ = true;
   stages_.begin(now);
-  records_.put(Kind::node, "", node_text(state_, options_.file_version));
+  records_.put(Kind::node, "", encode_node_state(state_, options_.file_version));
   records_.put(Kind::ended, "", replica::number_key(0));
-  take(members_.begin(now, options_.seeds), out);
+  collect(members_.begin(now, options_.seeds), out);
   if (std::ranges::all_of(options_.seeds, [&](const auto& s) { return s == options_.self.address; })) caught_up_ = true;
   return out;
 }
 
 Instant Peer::due() const {
-  if (!begun_) return Instant::max();
+  if (!started_) return Instant::max();
   auto t = std::min({members_.due(), records_.due(), next_sweep_, next_write_});
-  if (!caught_up_) t = std::min(t, next_ask_);
-  if (options_.beliefs && !beliefs_told_ && !starts_.empty()) t = std::min(t, begun_at_ + options_.warm_limit);
+  if (!caught_up_) t = std::min(t, next_request_);
+  if (options_.beliefs && !beliefs_published_ && !server_starts_.empty())
+    t = std::min(t, started_at_ + options_.warm_limit);
   if (beliefs_due(now_)) t = now_;
   if (const auto stage = stages_.due()) t = std::min(t, std::max(*stage, now_));
-  // While all wait for the end of an epoch: a few times in a round.
+  // While an epoch is ending: several times per round.
   return std::min(t, std::max(counts_.due(), now_ + options_.records.round / 8));
 }
 
 Actions Peer::tick(Instant now) {
   Actions out;
-  if (!begun_) return out;
+  if (!started_) return out;
   now_ = std::max(now_, now);
-  take(members_.tick(now_), out);
-  take(counts_.tick(now_), out);
+  collect(members_.tick(now_), out);
+  collect(counts_.tick(now_), out);
   if (now_ >= next_write_) {
     next_write_ = now_ + options_.records.round;
     counts_.write(now_);
     if (options_.beliefs) beliefs_.write(now_);
   }
-  tell_beliefs(out);
-  take(records_.tick(now_, reachable()), out);
-  if (!caught_up_ && now_ >= next_ask_) ask_some(out);
-  ask_whether_they_live(out);
+  publish_beliefs(out);
+  collect(records_.tick(now_, reachable()), out);
+  if (!caught_up_ && now_ >= next_request_) request_copies(out);
+  confirm_remembered_members(out);
   if (now_ >= next_sweep_) {
     next_sweep_ = now_ + kSweep;
     records_.sweep(now_, [this](const Origin& o) {
       const auto* m = members_.find(o.name);
       return m && m->incarnation.number == o.life;
     });
-    look_for_ended_lives();
-    if (options_.disk) sum_raises();
+    find_replaced_incarnations();
+    if (options_.disk) recompute_unreported_units();
   }
-  look_at_stage(out);
+  update_stage(out);
   return out;
 }
 
@@ -308,11 +341,11 @@
   return all;
 }
 
-// ---- What comes in ------------------------------------------------------------------------------------------
+// ---- Received datagrams -----------------------------------------------------------------------------------
 
 Actions Peer::datagram(Instant now, std::string_view bytes) {
   Actions out;
-  if (!begun_) return out;
+  if (!started_) return out;
   now_ = std::max(now_, now);
   ++figures_.datagrams_in, figures_.bytes_in += bytes.size();
   const auto inside = verify_mac(options_.key, bytes);
@@ -324,38 +357,39 @@
   if (!replay_filter_.accept(d->name, d->life, d->counter)) return ++figures_.replays, out;
   if (const auto* m = std::get_if<members::Message>(&d->body)) {
     if (m->from.who.name != d->name || m->from.who.number != d->life) return ++figures_.unreadable, out;
-    take(members_.received(now_, *m), out);
+    collect(members_.received(now_, *m), out);
     return out;
   }
   const auto& m = std::get<replica::Message>(d->body);
-  take(records_.received(now_, d->name, m), out);
-  if (m.kind == replica::Message::Kind::vector) learn_vector({d->name, d->life}, m);
-  look_whether_caught_up(out);
-  tell_beliefs(out);
-  look_at_stage(out);
+  collect(records_.received(now_, d->name, m), out);
+  if (m.kind == replica::Message::Kind::vector) on_vector({d->name, d->life}, m);
+  check_caught_up(out);
+  publish_beliefs(out);
+  update_stage(out);
   return out;
 }
 
-void Peer::take(members::Actions&& from, Actions& out) {
+void Peer::collect(members::Actions&& from, Actions& out) {
   for (auto& s : from.sends) send(s.address, std::move(s.message), out);
   for (auto& l : from.log) out.log.push_back({"members", std::move(l)});
-  for (const auto& c : from.changes) changed(c, out);
+  for (const auto& c : from.changes) on_member_change(c, out);
 }
 
-void Peer::changed(const members::Change& c, Actions& out) {
+void Peer::on_member_change(const members::Change& c, Actions& out) {
   const auto* m = members_.find(c.name);
   if (!m) return;
-  look_for_ended_lives();
+  find_replaced_incarnations();
   if (c.state >= members::State::dead) counts_.fellows_changed();
 #ifdef DOCKLIFT_PLANTS
   if (c.state == members::State::dead && injected(TestFault::drain_fades)) records_.lose(c.name);
 #endif
-  // Who is back has missed something, and has something that was missed here.
-  if (c.state == members::State::alive && caught_up_) send(m->incarnation.address, replica::Replica::ask(), out);
-  if (!caught_up_) next_ask_ = std::min(next_ask_, now_);
+  // A returned member has missed updates, and may have some that this node has missed.
+  if (c.state == members::State::alive && caught_up_)
+    send(m->incarnation.address, replica::Replica::ask(), out);
+  if (!caught_up_) next_request_ = std::min(next_request_, now_);
 }
 
-void Peer::take(replica::Out&& from, Actions& out) {
+void Peer::collect(replica::Out&& from, Actions& out) {
   for (auto& s : from.sends)
     if (const auto* m = members_.find(s.to)) send(m->incarnation.address, std::move(s.message), out);
   for (const auto& c : from.conflicts) out.log.push_back({"records", "CONFLICT of " + c.origin.name + "/" + hex(c.origin.life) + ": " + c.what});
@@ -363,68 +397,77 @@
     if (r.kind == Kind::word && options_.drains) {
       auto told = words_.heard(r.key);
       if (!told.empty()) records_.hurry();
-      take(std::move(told), out);
+      collect(std::move(told), out);
     }
-    if (r.kind == Kind::epoch && options_.counts) take(counts_.epoch_heard(now_, replica::number_of_key(r.value)), out);
+    if (r.kind == Kind::epoch && options_.counts)
+      collect(counts_.epoch_heard(now_, replica::number_of_key(r.value)), out);
     if (r.kind == Kind::ended) records_.hurry();
-    if (r.kind == Kind::closed) sum_raises(), records_.hurry();
+    if (r.kind == Kind::closed) recompute_unreported_units(), records_.hurry();
   }
 }
 
-void Peer::take(replica::Counts::Out&& from, Actions& out) {
+void Peer::collect(replica::Counts::Out&& from, Actions& out) {
   std::ranges::move(from.adds, std::back_inserter(out.adds));
   std::ranges::move(from.answers, std::back_inserter(out.answers));
   if (from.lost) {
     out.lost = from.lost;
-    if (options_.disk) records_.put(Kind::shut, kLost, replica::number_key(static_cast<std::uint64_t>(from.lost->at.time_since_epoch().count())));
+    if (options_.disk)
+      records_.put(Kind::shut, kLossKey,
+                   replica::number_key(static_cast<std::uint64_t>(from.lost->at.time_since_epoch().count())));
   }
   for (auto& l : from.log) out.log.push_back({"counts", std::move(l)});
   if (from.hurry) records_.hurry();
-  if (from.longest) disk_.push_back(recovery::longest_count(*from.longest));
-  if (from.largest && options_.disk && *from.largest > largest_) {
-    largest_ = *from.largest, largest_number_ = disk_number_ + 1;
-    disk_.push_back(recovery::largest_add(largest_));
+  if (from.longest) pending_changes_.push_back(recovery::longest_count(*from.longest));
+  if (from.largest && options_.disk && *from.largest > largest_add_) {
+    largest_add_ = *from.largest, largest_add_batch_ = last_batch_ + 1;
+    pending_changes_.push_back(recovery::largest_add(largest_add_));
   }
 }
 
-void Peer::take(std::vector<replica::Words::Told>&& told, Actions& out) {
+void Peer::collect(std::vector<replica::Words::Told>&& told, Actions& out) {
   for (const auto& t : told)
-    out.log.push_back({"drains", "server " + std::to_string(t.id) + (t.draining ? " is drained by another node's word" : " serves again by this node's list")});
+    out.log.push_back({"drains", "server " + std::to_string(t.id) +
+                                     (t.draining ? " is drained by another node"
+                                                 : " serves again according to this node's list")});
   std::ranges::move(told, std::back_inserter(out.servers));
 }
 
 std::string Peer::frame(Body body) {
-  return add_mac(options_.key, encode({options_.cluster, options_.self.name, options_.self.number, ++counter_, std::move(body)}));
+  return add_mac(options_.key, encode({options_.cluster, options_.self.name, options_.self.number, ++counter_,
+                                       std::move(body)}));
 }
 
 void Peer::send(const std::string& address, Body body, Actions& out) {
   auto bytes = frame(std::move(body));
-  if (bytes.size() > kMostDatagram) {  // a name or an address of great length: said, as what is in it is missing elsewhere
+  if (bytes.size() > kMaxDatagramBytes) {
+    // A very long name or address. Counted, since the content may not reach the other node.
     ++figures_.too_long;
   }
   ++figures_.datagrams_out, figures_.bytes_out += bytes.size();
   out.datagrams.push_back({address, std::move(bytes)});
 }
 
-// ---- A start ------------------------------------------------------------------------------------------------
+// ---- Start-up ---------------------------------------------------------------------------------------------
 
-void Peer::ask_some(Actions& out) {
-  next_ask_ = now_ + kAskAgain;
+void Peer::request_copies(Actions& out) {
+  next_request_ = now_ + kRequestInterval;
   std::size_t n = 0;
   for (const auto& name : reachable()) {
-    auto& a = asked_[name];
+    auto& a = copy_sources_[name];
     if (!a.answered || a.named.size() < a.origins) {
       send(members_.find(name)->incarnation.address, replica::Replica::ask(), out);
-      if (++n >= kAsked) break;
+      if (++n >= kCopySources) break;
     }
   }
-  look_whether_caught_up(out);
+  check_caught_up(out);
 }
 
-void Peer::learn_vector(const Origin& from, const replica::Message& m) {
-  if (options_.disk && std::ranges::any_of(m.entries, [&](const auto& e) { return e.origin == records_.self(); })) met_now_.insert(from);
+void Peer::on_vector(const Origin& from, const replica::Message& m) {
+  if (options_.disk &&
+      std::ranges::any_of(m.entries, [&](const auto& e) { return e.origin == records_.self(); }))
+    confirmed_.insert(from);
   if (caught_up_) return;
-  auto& a = asked_[from.name];
+  auto& a = copy_sources_[from.name];
   a.answered = true;
   a.origins = std::max(a.origins, m.origins);
   for (const auto& e : m.entries) {
@@ -434,52 +477,55 @@
   }
 }
 
-void Peer::look_whether_caught_up(Actions& out) {
-  if (caught_up_ || asked_.empty()) return;
-  std::size_t whole = 0;
-  for (const auto& [name, a] : asked_) {
+void Peer::check_caught_up(Actions& out) {
+  if (caught_up_ || copy_sources_.empty()) return;
+  std::size_t complete = 0;
+  for (const auto& [name, a] : copy_sources_) {
     if (!a.answered || a.named.size() < a.origins) continue;
-    whole += std::ranges::all_of(a.numbers, [&](const auto& e) {
-      // Of one that nobody lives any more there may be no whole copy left.
+    complete += std::ranges::all_of(a.numbers, [&](const auto& e) {
+      // No complete copy may be left of an incarnation that has ended.
       return e.first == records_.self() || (gone(e.first) ? records_.number_of(e.first) : records_.whole_at(e.first)) >= e.second;
     });
   }
-  const std::size_t others = warm_time_over() ? members_.alive() : options_.fleet_size - 1;
-  if (whole == 0 || whole < std::min(kAsked, others)) return;
+  const std::size_t others = warm_limit_reached() ? members_.alive() : options_.fleet_size - 1;
+  if (complete == 0 || complete < std::min(kCopySources, others)) return;
   caught_up_ = true;
-  asked_.clear();
-  out.log.push_back({"records", "copies of " + std::to_string(whole) + " nodes taken within " +
-                                    std::to_string((now_ - begun_at_).count() / 1'000'000) + " ms"});
+  copy_sources_.clear();
+  out.log.push_back({"records", "copies of " + std::to_string(complete) + " nodes received within " +
+                                    std::to_string((now_ - started_at_).count() / 1'000'000) + " ms"});
 }
 
 bool Peer::warm(Instant now) const {
-  if (heir_ && !begun_) return true;  // its predecessor has the address until it is ready
+  if (inherited_ && !started_) return true;  // the predecessor holds the address until this process is ready
   if (!stages_.ready()) return false;
-  return (caught_up_ || now - begun_at_ >= options_.warm_limit) && !beliefs_due(now);
+  return (caught_up_ || now - started_at_ >= options_.warm_limit) && !beliefs_due(now);
 }
-// Once, with a list and with copies, or with what there is of them when their time is over.
+// Server health is published once, when there are a list of servers and copies, or when the time limit for
+// copies has passed.
 bool Peer::beliefs_due(Instant now) const {
-  return options_.beliefs && !beliefs_told_ && !starts_.empty() && (caught_up_ || now - begun_at_ >= options_.warm_limit);
+  return options_.beliefs && !beliefs_published_ && !server_starts_.empty() &&
+         (caught_up_ || now - started_at_ >= options_.warm_limit);
 }
-void Peer::tell_beliefs(Actions& out) {
+void Peer::publish_beliefs(Actions& out) {
   if (!beliefs_due(now_)) return;
-  beliefs_told_ = true;
+  beliefs_published_ = true;
   std::vector<replica::Beliefs::Server> servers;
-  for (const auto& [id, start] : starts_) servers.push_back({id, start});
-  std::vector<Origin> living;
+  for (const auto& [id, start] : server_starts_) servers.push_back({id, start});
+  std::vector<Origin> alive_origins;
   for (const auto& [name, m] : members_.all())
-    if (m.state == members::State::alive) living.push_back({name, m.incarnation.number});
-  for (auto& t : beliefs_.believed(servers, living)) {
-    ++believed_;
-    out.log.push_back({"beliefs", "server " + std::to_string(t.id) + " serves others badly: " +
-                                      std::to_string(static_cast<int>(t.success * 10)) + " of 10 attempts go well"});
+    if (m.state == members::State::alive) alive_origins.push_back({name, m.incarnation.number});
+  for (auto& t : beliefs_.believed(servers, alive_origins)) {
+    ++published_beliefs_;
+    out.log.push_back({"beliefs", "server " + std::to_string(t.id) + " fails for other nodes: " +
+                                      std::to_string(static_cast<int>(t.success * 10)) +
+                                      " of 10 attempts succeed"});
     out.beliefs.push_back(t);
   }
 }
-bool Peer::warm_time_over() const { return now_ - begun_at_ >= options_.warm_limit; }
+bool Peer::warm_limit_reached() const { return now_ - started_at_ >= options_.warm_limit; }
 
-// Another life has this one's name now, and this one left no last word.
-bool Peer::ended(const Origin& o) const {
+// Whether a later incarnation has taken over the name and this one didn't announce a departure.
+bool Peer::replaced(const Origin& o) const {
   if (o == records_.self()) return false;
   const auto* m = members_.find(o.name);
   if (o.name != records_.self().name && (!m || m->incarnation.number == o.life)) return false;
@@ -487,13 +533,15 @@
   return !last || last->value.empty() || last->value[0] != static_cast<char>(NodeState::left);
 }
 
-void Peer::look_for_ended_lives() {
+void Peer::find_replaced_incarnations() {
   for (const auto& [o, number] : records_.vector())
-    if (ended(o)) ended_lives_.emplace(o, now_);
-  std::erase_if(ended_lives_, [&](const auto& e) { return now_ - e.second > kLongAgo && !records_.has(e.first); });
+    if (replaced(o)) replaced_incarnations_.emplace(o, now_);
+  std::erase_if(replaced_incarnations_, [&](const auto& e) {
+    return now_ - e.second > kReplacedRetention && !records_.has(e.first);
+  });
 }
 
-// ---- What others must have said before counts are believed --------------------------------------------------
+// ---- View of the fleet for the counts ---------------------------------------------------------------------
 
 std::vector<Origin> Peer::alive() const {
   std::vector<Origin> all;
@@ -502,11 +550,13 @@
   return all;
 }
 
-// A node that is held for dead may live beyond a cut, and one that was never met as well: what they add is not heard of.
+// A node considered dead, or never met, may be running on the other side of a network partition; its
+// additions are not received here.
 bool Peer::lost_since(Instant since) const {
   std::size_t accounted = 1;
   for (const auto& [name, m] : members_.all()) {
-    if (m.conflicting_incarnation != 0 && !(options_.disk && is_closed({name, m.conflicting_incarnation}))) return true;
+    if (m.conflicting_incarnation != 0 && !(options_.disk && is_closed({name, m.conflicting_incarnation})))
+      return true;
     if (m.state == members::State::dead) return true;
     if (m.state == members::State::left) {
       const auto* r = records_.find({name, m.incarnation.number}, Kind::node, "");
@@ -515,36 +565,37 @@
     ++accounted;
   }
   if (members_.duplicate() || accounted < options_.fleet_size) return true;
-  // A life that was replaced without a last word may have added what it did not tell.
+  // An incarnation that was replaced without announcing a departure may have added units that it didn't
+  // report.
   for (const auto& [o, number] : records_.vector()) {
-    if (!ended(o) || is_closed(o)) continue;
-    const auto it = ended_lives_.find(o);
-    if (it == ended_lives_.end() || it->second >= since) return true;
+    if (!replaced(o) || is_closed(o)) continue;
+    const auto it = replaced_incarnations_.find(o);
+    if (it == replaced_incarnations_.end() || it->second >= since) return true;
   }
   return false;
 }
 
-// ---- The node -----------------------------------------------------------------------------------------------
+// ---- The node ---------------------------------------------------------------------------------------------
 
 Actions Peer::state(Instant now, NodeState state) {
   Actions out;
   now_ = std::max(now_, now);
   state_ = state;
-  records_.put(Kind::node, "", node_text(state, options_.file_version));
+  records_.put(Kind::node, "", encode_node_state(state, options_.file_version));
   return out;
 }
 
 Actions Peer::leave(Instant now) {
   Actions out;
-  if (!begun_) return out;
+  if (!started_) return out;
   now_ = std::max(now_, now);
   counts_.write(now_);
   records_.put(Kind::ended, "", replica::number_key(counts_.figures().epoch));
   state_ = NodeState::left;
-  records_.put(Kind::node, "", node_text(state_, options_.file_version));
-  take(records_.last_words(now_, reachable()), out);
-  take(members_.leave(), out);
-  begun_ = false;
+  records_.put(Kind::node, "", encode_node_state(state_, options_.file_version));
+  collect(records_.last_words(now_, reachable()), out);
+  collect(members_.leave(), out);
+  started_ = false;
   return out;
 }
 
@@ -556,55 +607,63 @@
 Actions Peer::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries) {
   Actions out;
   now_ = std::max(now_, now);
-  if (whole) starts_.clear();
+  if (whole) server_starts_.clear();
   for (const auto& e : entries) {
-    if (e.phase == replica::ServerPhase::gone) starts_.erase(e.id);
-    else starts_[e.id] = e.start;
+    if (e.phase == replica::ServerPhase::gone) server_starts_.erase(e.id);
+    else server_starts_[e.id] = e.start;
   }
   if (!options_.drains) return out;
-  bool fresh = false;
-  take(words_.listed(now_, whole, revision, entries, fresh), out);
-  if (fresh) records_.hurry();
+  bool changed = false;
+  collect(words_.listed(now_, whole, revision, entries, changed), out);
+  if (changed) records_.hurry();
   return out;
 }
 
 void Peer::record_attempt(Instant now, std::uint32_t server, bool good) {
   now_ = std::max(now_, now);
   if (!options_.beliefs) return;
-  if (const auto it = starts_.find(server); it != starts_.end()) beliefs_.seen(now_, {server, it->second}, good);
+  if (const auto it = server_starts_.find(server); it != server_starts_.end())
+    beliefs_.seen(now_, {server, it->second}, good);
 }
 
 Actions Peer::add(Instant now, snowknot::CountName name, double amount, snowknot::Duration lifetime) {
   Actions out;
   now_ = std::max(now_, now);
-  take(counts_.add(now_, name, amount, lifetime), out);
+  collect(counts_.add(now_, name, amount, lifetime), out);
   return out;
 }
 
 Actions Peer::store_answered(Instant now, const snowknot::CountAnswer& answer) {
   Actions out;
   now_ = std::max(now_, now);
-  take(counts_.answered(now_, answer), out);
+  collect(counts_.answered(now_, answer), out);
   return out;
 }
 
 Actions Peer::store_lost(Instant now, const snowknot::CountsLost& lost) {
   Actions out;
   now_ = std::max(now_, now);
-  take(counts_.lost(now_, lost), out);
+  collect(counts_.lost(now_, lost), out);
   return out;
 }
 
-// ---- For operators ------------------------------------------------------------------------------------------
+// ---- Status for operators ---------------------------------------------------------------------------------
 
 nlohmann::json Peer::fleet(Instant now) const {
   using nlohmann::json;
   const auto ms = [](Instant t) { return t.count() / 1'000'000; };
   json members = json::array();
-  const auto entry = [&](const members::Incarnation& life, std::uint32_t refutations, const char* state, Instant since) {
-    const auto* r = records_.find({life.name, life.number}, Kind::node, "");
-    return json{{"name", life.name},       {"state", state},       {"start", life.start},     {"life", hex(life.number)},
-                {"refutes", refutations},  {"zone", life.zone},    {"address", life.address}, {"age_ms", ms(now - since)},
+  const auto entry = [&](const members::Incarnation& incarnation, std::uint32_t refutations,
+                         const char* state, Instant since) {
+    const auto* r = records_.find({incarnation.name, incarnation.number}, Kind::node, "");
+    return json{{"name", incarnation.name},
+                {"state", state},
+                {"start", incarnation.start},
+                {"life", hex(incarnation.number)},
+                {"refutes", refutations},
+                {"zone", incarnation.zone},
+                {"address", incarnation.address},
+                {"age_ms", ms(now - since)},
                 {"node", r && !r->value.empty() ? name_of(static_cast<NodeState>(r->value[0])) : "unknown"},
                 {"file", r && r->value.size() > 1 ? r->value.substr(1) : ""}};
   };
@@ -622,12 +681,12 @@
   const auto c = counts_.figures();
   const auto w = words_.figures();
   const auto b = beliefs_.figures();
-  return {{"self", entry(members_.self(), members_.refutations(), "alive", begun_at_)},
+  return {{"self", entry(members_.self(), members_.refutations(), "alive", started_at_)},
           {"cluster", options_.cluster},
           {"fleet_size", options_.fleet_size},
           {"caught_up", caught_up_},
           {"stage", {{"name", recovery::name_of(stages_.stage())}, {"waits_for", stages_.waits_for()}, {"age_ms", ms(now - stages_.since())},
-                     {"disk", !options_.disk ? "none" : disk_fails_ ? "refuses" : "good"}, {"durable", options_.disk && durable_ == disk_number_ && !has_for_disk()}, {"waiting", writes_at_.size()}, {"raise", raise({})}}},
+                     {"disk", !options_.disk ? "none" : disk_failed_ ? "refuses" : "good"}, {"durable", options_.disk && durable_batch_ == last_batch_ && !has_for_disk()}, {"waiting", count_writes_.size()}, {"raise", raise({})}}},
           {"slowness", members_.slowness()},
           {"members", std::move(members)},
           {"vector", std::move(vector)},
@@ -639,7 +698,7 @@
           {"drains", {{"published", w.published}, {"learnt", w.learnt}, {"undone", w.undone}, {"held", w.held}}},
           {"beliefs",
            {{"said", b.said}, {"contradicted", b.contradicted}, {"taken_back", b.taken_back}, {"complaints", b.complaints},
-            {"met", b.met}, {"believed", believed_}}},
+            {"met", b.met}, {"believed", published_beliefs_}}},
           {"records",
            {{"origins", r.origins}, {"records", r.records}, {"pages", r.pages_taken}, {"late", r.pages_late}, {"gaps", r.gaps},
             {"dropped", r.dropped}, {"held_back", r.held_back}}},
--- a/src/peers/sections.cpp
+++ b/src/peers/sections.cpp
@@ -13,7 +13,7 @@
 using namespace options;
 
 constexpr std::int64_t kKiB = 1024, kMiB = 1024 * kKiB, kGiB = 1024 * kMiB;
-constexpr std::size_t kLeastKey = 16;  // bytes
+constexpr std::size_t kMinKeyBytes = 16;
 
 }  // namespace
 
@@ -74,7 +74,8 @@
   std::stringstream secret;
   const auto& file = c.text("peers.key_file");
   secret << std::ifstream(file, std::ios::binary).rdbuf();
-  if (secret.str().size() < kLeastKey) throw std::runtime_error("peers.key_file: no secret of 16 bytes can be read from " + file);
+  if (secret.str().size() < kMinKeyBytes)
+    throw std::runtime_error("peers.key_file: can't read a secret of at least 16 bytes from " + file);
   std::random_device random;
   const auto number = [&] { return static_cast<std::uint64_t>(random()) << 32U | random(); };
   auto& p = o.peer;
--- a/src/peers/sections.hpp
+++ b/src/peers/sections.hpp
@@ -1,4 +1,4 @@
-// The operator's sections [peers] and [state].
+// The sections [peers] and [state] of the operator's file, and the options made from them.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 Section peers_section();
 Section state_section();
 
-// None where no address is named. Throws std::runtime_error for a key file that can't be read.
+// Returns nothing if peers.listen is empty. Throws std::runtime_error if the key file can't be read.
 std::optional<StationOptions> station_options(const Config& c, const snowknot::NodeConfig& platform);
 
 }  // namespace docklift::peers
--- a/src/peers/station.cpp
+++ b/src/peers/station.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kBindAgain{50};
-constexpr std::size_t kMostAddresses = 8192;
+constexpr std::chrono::milliseconds kBindRetryInterval{50};
+constexpr std::size_t kMaxCachedAddresses = 8192;
 
-replica::Words::Entry word_of(const snowknot::ServerInfo& info) {
+replica::Words::Entry to_list_entry(const snowknot::ServerInfo& info) {
   replica::Words::Entry e;
   e.id = static_cast<std::uint32_t>(info.id);
   if (info.started)
@@ -27,22 +27,22 @@
   return e;
 }
 
-// A line of log as a JSON object, so that many nodes' lines can be laid side by side.
+// Logs a line as a JSON object, so that the logs of several nodes can be merged.
 void print(Instant now, const std::string& node, const Actions::Line& l) {
-  note(nlohmann::json{{"ms", now.count() / 1'000'000}, {"node", node}, {"room", l.room}, {"text", l.text}}.dump(
-      -1, ' ', false, nlohmann::json::error_handler_t::replace));
+  note(nlohmann::json{{"ms", now.count() / 1'000'000}, {"node", node}, {"room", l.module}, {"text", l.text}}
+           .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
 }  // namespace
 
-// Stands between the module and the store.
-class Station::Store : public snowknot::CountStore {
+// Routes the module's calls to the counter store, and the store's answers, through the Peer.
+class Station::InterceptingStore : public snowknot::CountStore {
  public:
-  Store(Station& station, Told to_module, Lost loss_to_module)
-      : told(std::move(to_module)), lost(std::move(loss_to_module)), station_(station) {
+  InterceptingStore(Station& station, Told on_answer, Lost on_lost)
+      : told(std::move(on_answer)), lost(std::move(on_lost)), station_(station) {
     station_.store_ = this;
   }
-  ~Store() override { station_.store_ = nullptr; }
+  ~InterceptingStore() override { station_.store_ = nullptr; }
   void add(snowknot::CountName name, double amount, snowknot::Duration lifetime) override {
     station_.carry_out(station_.peer_.add(station_.now(), name, amount, lifetime));
   }
@@ -61,14 +61,14 @@
     : io_(io), timers_(timers), options_(std::move(options)), peer_(options_.peer, seed), socket_(io.get_executor()) {}
 
 Station::~Station() {
-  timers_.cancel(tick_);
-  timers_.cancel(again_);
+  timers_.cancel(tick_timer_);
+  timers_.cancel(bind_retry_);
 }
 
 snowknot::StoreFactory Station::wrapped(snowknot::StoreFactory inner) {
   return [this, inner = std::move(inner)](asio::io_context& io, snowknot::Timers& timers, snowknot::Duration limit,
                                           snowknot::CountStore::Told told, snowknot::CountStore::Lost lost) {
-    auto store = std::make_unique<Store>(*this, std::move(told), std::move(lost));
+    auto store = std::make_unique<InterceptingStore>(*this, std::move(told), std::move(lost));
     store->inner = inner(
         io, timers, limit, [this](const snowknot::CountAnswer& a) { carry_out(peer_.store_answered(now(), a)); },
         [this](const snowknot::CountsLost& e) { carry_out(peer_.store_lost(now(), e)); });
@@ -76,14 +76,15 @@
   };
 }
 
-// ---- The socket ---------------------------------------------------------------------------------------------
+// ---- The socket -------------------------------------------------------------------------------------------
 
 void Station::start() {
   if (options_.disk) return open_disk();
   bind();
 }
 
-// One's own records first: nobody is spoken to on a start that could have been used before.
+// Reads this node's own records before it sends anything: its start number must be higher than any used
+// before.
 void Station::open_disk() {
   keeper_ = std::make_unique<recovery::Keeper>(
       io_, timers_, *options_.disk,
@@ -92,11 +93,11 @@
                                 bind();
                               },
                               .durable = [this](std::uint64_t number) { carry_out(peer_.durable(now(), number)); },
-                              .fails = [this] { carry_out(peer_.disk_fails(now())); }});
+                              .fails = [this] { carry_out(peer_.on_disk_failure(now())); }});
   keeper_->open();
 }
 
-void Station::write_down() {
+void Station::write_to_disk() {
   if (!keeper_ || !keeper_->opened() || !peer_.has_for_disk()) return;
   const auto all = peer_.to_disk();
   keeper_->put(all.number, all.changes);
@@ -108,72 +109,74 @@
   socket_.open(at.protocol(), failed);
   if (!failed) socket_.bind(at, failed);
   if (failed) {
-    if (!std::exchange(said_busy_, true)) note("peers: " + snowknot::shown(options_.listen) + ": " + failed.message() + "; tried again");
+    if (!std::exchange(bind_error_logged_, true))
+      note("peers: " + snowknot::shown(options_.listen) + ": " + failed.message() + "; retrying");
     error_code ignored;
     socket_.close(ignored);
-    again_ = timers_.after(kBindAgain, [this] {
-      again_.reset();
+    bind_retry_ = timers_.after(kBindRetryInterval, [this] {
+      bind_retry_.reset();
       bind();
     });
     return;
   }
   socket_.non_blocking(true, failed);
-  open_ = true;
+  bound_ = true;
   receive();
   carry_out(peer_.begin(now()));
 }
 
 void Station::receive() {
-  socket_.async_receive_from(asio::buffer(space_), from_, [this](const error_code& failed, std::size_t bytes) {
-    if (failed == asio::error::operation_aborted || !open_) return;
-    if (!failed) carry_out(peer_.datagram(now(), {space_.data(), bytes}));
-    if (open_) receive();
-  });
+  socket_.async_receive_from(asio::buffer(receive_buffer_), sender_,
+                             [this](const error_code& failed, std::size_t bytes) {
+                               if (failed == asio::error::operation_aborted || !bound_) return;
+                               if (!failed) carry_out(peer_.datagram(now(), {receive_buffer_.data(), bytes}));
+                               if (bound_) receive();
+                             });
 }
 
 std::optional<Station::Udp::endpoint> Station::endpoint_of(const std::string& address) {
-  const auto known = addresses_.find(address);
-  if (known != addresses_.end()) return known->second;
+  const auto known = endpoints_.find(address);
+  if (known != endpoints_.end()) return known->second;
   const auto at = snowknot::endpoint_of(address);
   if (!at) return std::nullopt;
-  if (addresses_.size() >= kMostAddresses) addresses_.clear();
-  return addresses_.emplace(address, Udp::endpoint(at->address(), at->port())).first->second;
+  if (endpoints_.size() >= kMaxCachedAddresses) endpoints_.clear();
+  return endpoints_.emplace(address, Udp::endpoint(at->address(), at->port())).first->second;
 }
 
 void Station::leave() {
   if (std::exchange(left_, true)) return;
-  timers_.cancel(again_);
-  if (!open_) return void(keeper_.reset());
+  timers_.cancel(bind_retry_);
+  if (!bound_) return void(keeper_.reset());
   carry_out(peer_.leave(now()));
   keeper_.reset();
-  open_ = false;
-  timers_.cancel(tick_);
+  bound_ = false;
+  timers_.cancel(tick_timer_);
   error_code ignored;
   socket_.close(ignored);
 }
 
-// ---- What Peer decides --------------------------------------------------------------------------------------
+// ---- Actions of the Peer ----------------------------------------------------------------------------------
 
-// In order: what an action brings about at once waits until the actions before it are done.
+// Executes actions in order: those that result from executing an action are queued behind the current ones.
 void Station::carry_out(Actions out) {
-  outs_.push_back(std::move(out));
-  if (std::exchange(performing_, true)) return;
-  while (!outs_.empty()) {
-    auto next = std::move(outs_.front());
-    outs_.pop_front();
-    perform(next);
+  pending_actions_.push_back(std::move(out));
+  if (std::exchange(executing_, true)) return;
+  while (!pending_actions_.empty()) {
+    auto next = std::move(pending_actions_.front());
+    pending_actions_.pop_front();
+    execute(next);
   }
-  performing_ = false;
-  write_down();
+  executing_ = false;
+  write_to_disk();
   arm();
 }
 
-void Station::perform(Actions& out) {
+void Station::execute(Actions& out) {
   for (const auto& l : out.log) print(now(), options_.peer.self.name, l);
   for (const auto& d : out.datagrams) {
     const auto to = endpoint_of(d.to);
-    error_code ignored;  // a full buffer loses it, as the network may
-    if (open_ && to) socket_.send_to(asio::buffer(d.bytes), *to, 0, ignored);
+    error_code ignored;  // a datagram dropped by a full buffer is like one lost on the network
+    if (bound_ && to) socket_.send_to(asio::buffer(d.bytes), *to, 0, ignored);
   }
   if (out.lost && store_) store_->lost(*out.lost);
   for (const auto& a : out.answers)
@@ -184,27 +187,28 @@
     for (const auto& b : out.beliefs) node_->told_of({ServerId{b.id}, b.success});
   if (out.servers.empty() || !node_) return;
   std::vector<Discovery::Entry> entries;
-  for (const auto& t : out.servers) tell(t, entries);
+  for (const auto& t : out.servers) apply_override(t, entries);
   if (!entries.empty()) node_->retell(entries);
 }
 
 void Station::arm() {
-  if (!open_ && !tick_) return;
-  const auto due = open_ ? std::optional(peer_.due()) : std::nullopt;
-  if (due && armed_ == due && tick_) return;
-  timers_.cancel(tick_);
-  armed_ = due;
+  if (!bound_ && !tick_timer_) return;
+  const auto due = bound_ ? std::optional(peer_.due()) : std::nullopt;
+  if (due && armed_for_ == due && tick_timer_) return;
+  timers_.cancel(tick_timer_);
+  armed_for_ = due;
   if (!due) return;
-  tick_ = timers_.at(snowknot::Time(std::max(*due, Instant{})), [this] {
-    tick_.reset(), armed_.reset();
-    if (open_) carry_out(peer_.tick(now()));
+  tick_timer_ = timers_.at(snowknot::Time(std::max(*due, Instant{})), [this] {
+    tick_timer_.reset(), armed_for_.reset();
+    if (bound_) carry_out(peer_.tick(now()));
   });
 }
 
-// ---- The list of servers ------------------------------------------------------------------------------------
+// ---- The list of servers ----------------------------------------------------------------------------------
 
-// As one's own list has it, or drained: in the entries if it is among them, else behind them.
-void Station::tell(const replica::Words::Told& told, std::vector<Discovery::Entry>& entries) {
+// Applies a drain reported by another node, or its end, to `entries`; a server that isn't among them is
+// appended as this node's own list has it.
+void Station::apply_override(const replica::Words::Told& told, std::vector<Discovery::Entry>& entries) {
   const ServerId id{told.id};
   const auto it = std::ranges::find_if(entries, [&](const auto& e) { return e.info.id == id; });
   if (it != entries.end()) {
@@ -219,20 +223,21 @@
 
 void Station::ended(ServerId server, snowknot::Outcome outcome) {
   using enum snowknot::Outcome;
-  if (outcome != cancelled && outcome != never_sent) peer_.record_attempt(now(), static_cast<std::uint32_t>(server), outcome == ok);
+  if (outcome != cancelled && outcome != never_sent)
+    peer_.record_attempt(now(), static_cast<std::uint32_t>(server), outcome == ok);
 }
 
 void Station::listed(ListKind kind, std::uint64_t revision, std::vector<Discovery::Entry>& entries) {
   const bool whole = kind != ListKind::changes;
   if (whole) servers_.clear();
-  std::vector<replica::Words::Entry> words;
+  std::vector<replica::Words::Entry> entries_for_peer;
   for (const auto& e : entries) {
-    words.push_back(word_of(e.info));
+    entries_for_peer.push_back(to_list_entry(e.info));
     if (e.info.phase == snowknot::Phase::gone) servers_.erase(e.info.id);
     else servers_[e.info.id] = e;
   }
-  auto out = peer_.listed(now(), whole, revision, words);
-  for (const auto& t : std::exchange(out.servers, {})) tell(t, entries);
+  auto out = peer_.listed(now(), whole, revision, entries_for_peer);
+  for (const auto& t : std::exchange(out.servers, {})) apply_override(t, entries);
   carry_out(std::move(out));
 }
 
--- a/src/peers/station.hpp
+++ b/src/peers/station.hpp
@@ -1,5 +1,5 @@
-// One node among its peers, on sockets: a thin layer under the node's one event loop. Datagrams, the list of servers and calls to the store of
-// counts pass through Peer, which decides; this carries them.
+// One node among its peers, on sockets: the I/O layer around Peer, run by the node's event loop. It passes
+// datagrams, the list of servers and calls to the counter store to Peer and carries out what Peer decides.
 #pragma once
 
 #include <boost/asio/basic_datagram_socket.hpp>
@@ -24,44 +24,48 @@
   std::optional<recovery::KeeperOptions> disk{};
 };
 
+// Owns the UDP socket, the disk and the timers of a Peer and carries out its actions.
 class Station : public snowknot::ListView {
  public:
-  // `timers` has to outlive it. The socket is bound by start().
+  // `timers` must outlive the station. start() binds the socket.
   Station(snowknot::asio::io_context& io, snowknot::Timers& timers, StationOptions options, std::uint64_t seed);
   ~Station() override;
 
-  // Calls and answers of the store that `inner` makes pass through this station, which has to outlive it.
+  // Wraps a store factory so that the calls to its store, and the answers, pass through this station, which
+  // must outlive the store.
   snowknot::StoreFactory wrapped(snowknot::StoreFactory inner);
-  // The node whose servers are told. Not owned.
+  // Sets the node that receives drains and server health. Not owned.
   void serve(snowknot::Node& node) { node_ = &node; }
-  // Binds, and tries again while another process holds the address (a predecessor that hands over, say).
+  // Binds the socket, and retries while another process holds the address, such as a predecessor in a hot
+  // upgrade.
   void start();
   void state(NodeState state) { carry_out(peer_.state(now(), state)); }
-  // Says good-bye and closes the socket.
+  // Announces the departure and closes the socket.
   void leave();
   void set_seeds(const std::vector<std::string>& seeds) { peer_.set_seeds(seeds); }
-  bool warm() const { return (open_ || heir_) && peer_.warm(now()); }
-  // For a successor, and at one before start(): the predecessor holds the address until this process is ready.
+  bool warm() const { return (bound_ || inherited_) && peer_.warm(now()); }
+  // State for a successor process; the successor calls inherit() before start(), since the predecessor holds
+  // the address until the successor is ready.
   std::string copies() const { return peer_.copies(); }
-  void inherit(std::string_view copies) { heir_ = true, carry_out(peer_.inherit(now(), copies)); }
+  void inherit(std::string_view copies) { inherited_ = true, carry_out(peer_.inherit(now(), copies)); }
   std::string fleet() const { return peer_.fleet(now()).dump(2) + "\n"; }
 
   void listed(snowknot::ListKind kind, std::uint64_t revision, std::vector<snowknot::Discovery::Entry>& entries) override;
   void ended(snowknot::ServerId server, snowknot::Outcome outcome) override;
 
  private:
-  class Store;
+  class InterceptingStore;
   using Udp = snowknot::asio::ip::udp;
 
   Instant now() const { return timers_.now().time_since_epoch(); }
   void open_disk();
-  void write_down();
+  void write_to_disk();
   void bind();
   void receive();
   void carry_out(Actions out);
-  void perform(Actions& out);
+  void execute(Actions& out);
   void arm();
-  void tell(const replica::Words::Told& told, std::vector<snowknot::Discovery::Entry>& entries);
+  void apply_override(const replica::Words::Told& told, std::vector<snowknot::Discovery::Entry>& entries);
   std::optional<Udp::endpoint> endpoint_of(const std::string& address);
 
   snowknot::asio::io_context& io_;
@@ -69,16 +73,16 @@
   StationOptions options_;
   Peer peer_;
   snowknot::asio::basic_datagram_socket<Udp, snowknot::Executor> socket_;
-  Udp::endpoint from_;
-  std::array<char, 4096> space_{};
-  std::unordered_map<std::string, Udp::endpoint> addresses_;
+  Udp::endpoint sender_;
+  std::array<char, 4096> receive_buffer_{};
+  std::unordered_map<std::string, Udp::endpoint> endpoints_;
   snowknot::Node* node_ = nullptr;
-  Store* store_ = nullptr;
-  std::unordered_map<snowknot::ServerId, snowknot::Discovery::Entry> servers_;  // as one's own list has them
-  std::deque<Actions> outs_;
-  bool performing_ = false, open_ = false, left_ = false, said_busy_ = false, heir_ = false;
-  snowknot::Timers::Handle tick_, again_;
-  std::optional<Instant> armed_;
+  InterceptingStore* store_ = nullptr;
+  std::unordered_map<snowknot::ServerId, snowknot::Discovery::Entry> servers_;  // as in this node's own list
+  std::deque<Actions> pending_actions_;
+  bool executing_ = false, bound_ = false, left_ = false, bind_error_logged_ = false, inherited_ = false;
+  snowknot::Timers::Handle tick_timer_, bind_retry_;
+  std::optional<Instant> armed_for_;
   std::unique_ptr<recovery::Keeper> keeper_;
 };
 
--- a/src/peers/wire.cpp
+++ b/src/peers/wire.cpp
@@ -12,16 +12,17 @@
 using members::Incarnation;
 using members::MemberUpdate;
 
-constexpr std::size_t kMark = 16;
+constexpr std::size_t kMacBytes = 16;
 
 json binary(const std::string& s) { return json::binary(std::vector<std::uint8_t>(s.begin(), s.end())); }
-std::string text_of(const json& j) {
+std::string string_of(const json& j) {
   const auto& b = j.get_binary();
   return {b.begin(), b.end()};
 }
 
 json to_json(const MemberUpdate& r) {
-  return json::array({r.who.name, r.who.start, r.who.number, r.who.address, r.who.zone, r.refutations, static_cast<unsigned>(r.state)});
+  return json::array({r.who.name, r.who.start, r.who.number, r.who.address, r.who.zone, r.refutations,
+                      static_cast<unsigned>(r.state)});
 }
 MemberUpdate parse_update(const json& j) {
   MemberUpdate r;
@@ -37,7 +38,8 @@
 json to_json(const members::Message& m) {
   json updates = json::array();
   for (const auto& r : m.updates) updates.push_back(to_json(r));
-  return json::array({static_cast<unsigned>(m.kind), m.number, to_json(m.from), m.to, m.target, m.address, std::move(updates)});
+  return json::array({static_cast<unsigned>(m.kind), m.number, to_json(m.from), m.to, m.target, m.address,
+                      std::move(updates)});
 }
 members::Message members_message(const json& j) {
   members::Message m;
@@ -76,13 +78,15 @@
   for (const auto& p : j.at(5)) {
     replica::Page page{{p.at(0).get<std::string>(), p.at(1).get<std::uint64_t>()}, p.at(2).get<std::uint64_t>(),
                        p.at(3).get<std::uint64_t>(), p.at(4).get<bool>(), {}};
-      page.goal = p.size() > 6 ? p.at(6).get<std::uint64_t>() : page.upto;  // of an older version: as it took it
+    // An older version sends no goal and counts the copy as complete at `upto`.
+    page.goal = p.size() > 6 ? p.at(6).get<std::uint64_t>() : page.upto;
     for (const auto& r : p.at(5)) {
       const auto k = r.at(1).get<unsigned>();
-      // A kind of a later version is left out; its number counts, so that nothing seems to be missing.
+      // Records of a kind added by a later version are skipped; the page's range still covers their numbers,
+      // so no gap is seen.
       if (k == 0 || k > static_cast<unsigned>(replica::kLastKind)) continue;
-      page.records.push_back({r.at(0).get<std::uint64_t>(), static_cast<replica::Kind>(k), text_of(r.at(2)), text_of(r.at(3)),
-                              replica::Instant(r.at(4).get<std::int64_t>())});
+      page.records.push_back({r.at(0).get<std::uint64_t>(), static_cast<replica::Kind>(k), string_of(r.at(2)),
+                              string_of(r.at(3)), replica::Instant(r.at(4).get<std::int64_t>())});
     }
     m.pages.push_back(std::move(page));
   }
@@ -92,16 +96,17 @@
 }  // namespace
 
 std::string encode(const Datagram& d) {
-  const bool of_members = std::holds_alternative<members::Message>(d.body);
-  const auto j = json::array({kVersion, d.cluster, d.name, d.life, d.counter, of_members,
-                              of_members ? to_json(std::get<members::Message>(d.body)) : to_json(std::get<replica::Message>(d.body))});
+  const bool is_membership = std::holds_alternative<members::Message>(d.body);
+  const auto j = json::array({kVersion, d.cluster, d.name, d.life, d.counter, is_membership,
+                              is_membership ? to_json(std::get<members::Message>(d.body))
+                                            : to_json(std::get<replica::Message>(d.body))});
   std::string out;
   json::to_msgpack(j, out);
   return out;
 }
 
 std::optional<Datagram> decode(std::string_view bytes) {
-  if (bytes.size() > 2 * kMostDatagram) return std::nullopt;  // the library reads what is nested by recursion
+  if (bytes.size() > 2 * kMaxDatagramBytes) return std::nullopt;  // the parser recurses into nested values
   try {
     const auto j = json::from_msgpack(bytes, true, true);
     if (j.at(0).get<std::uint64_t>() != kVersion) return std::nullopt;
@@ -123,37 +128,41 @@
 }
 
 std::string add_mac(const Key& key, std::string_view bytes) {
-  std::string out(kMark, '\0');
-  crypto_generichash(reinterpret_cast<unsigned char*>(out.data()), kMark, reinterpret_cast<const unsigned char*>(bytes.data()),
-                     bytes.size(), key.data(), key.size());
+  std::string out(kMacBytes, '\0');
+  crypto_generichash(reinterpret_cast<unsigned char*>(out.data()), kMacBytes,
+                     reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), key.data(),
+                     key.size());
   out.append(bytes);
   return out;
 }
 
 std::optional<std::string_view> verify_mac(const Key& key, std::string_view datagram) {
-  if (datagram.size() <= kMark) return std::nullopt;
-  const auto bytes = datagram.substr(kMark);
-  const auto right = add_mac(key, bytes);
-  if (sodium_memcmp(right.data(), datagram.data(), kMark) != 0 && !injected(TestFault::any_mark_accepted)) return std::nullopt;
+  if (datagram.size() <= kMacBytes) return std::nullopt;
+  const auto bytes = datagram.substr(kMacBytes);
+  const auto expected = add_mac(key, bytes);
+  if (sodium_memcmp(expected.data(), datagram.data(), kMacBytes) != 0 &&
+      !injected(TestFault::any_mark_accepted))
+    return std::nullopt;
   return bytes;
 }
 
 bool ReplayFilter::accept(const std::string& name, std::uint64_t life, std::uint64_t counter) {
   if (counter == 0) return false;
-  auto it = lives_.find({name, life});
-  if (it == lives_.end()) {
-    if (lives_.size() >= most_)
-      lives_.erase(std::ranges::min_element(lives_, {}, [](const auto& e) { return e.second.used; }));
-    it = lives_.emplace(std::pair(name, life), Window{}).first;
+  auto it = windows_.find({name, life});
+  if (it == windows_.end()) {
+    if (windows_.size() >= max_incarnations_)
+      windows_.erase(
+          std::ranges::min_element(windows_, {}, [](const auto& e) { return e.second.last_used; }));
+    it = windows_.emplace(std::pair(name, life), Window{}).first;
   }
   auto& w = it->second;
-  w.used = ++clock_;
-  const auto bit = [&](std::uint64_t n) -> std::uint64_t& { return w.bits[n % kWindow / 64]; };
+  w.last_used = ++use_counter_;
+  const auto bit = [&](std::uint64_t n) -> std::uint64_t& { return w.bits[n % kWindowSize / 64]; };
   if (counter > w.highest) {
-    const auto from = std::max(w.highest + 1, counter >= kWindow ? counter - kWindow + 1 : 1);
+    const auto from = std::max(w.highest + 1, counter >= kWindowSize ? counter - kWindowSize + 1 : 1);
     for (auto n = from; n <= counter; ++n) bit(n) &= ~(1ULL << (n % 64));
     w.highest = counter;
-  } else if (w.highest - counter >= kWindow || (bit(counter) >> (counter % 64) & 1U)) {
+  } else if (w.highest - counter >= kWindowSize || (bit(counter) >> (counter % 64) & 1U)) {
     return false;
   }
   bit(counter) |= 1ULL << (counter % 64);
--- a/src/peers/wire.hpp
+++ b/src/peers/wire.hpp
@@ -1,4 +1,5 @@
-// Datagrams between nodes: MessagePack, sealed with a key that the cluster shares. No I/O.
+// Encoding of the datagrams between nodes: MessagePack, authenticated with a key that the cluster shares. No
+// I/O.
 #pragma once
 
 #include <array>
@@ -14,46 +15,49 @@
 
 namespace docklift::peers {
 
-inline constexpr std::uint64_t kVersion = 1;       // a datagram of another is counted and passed over
-inline constexpr std::size_t kMostDatagram = 1400; // bytes; fits an Ethernet frame
+inline constexpr std::uint64_t kVersion = 1;            // datagrams of other versions are counted and dropped
+inline constexpr std::size_t kMaxDatagramBytes = 1400;  // fits an Ethernet frame
 
 using Body = std::variant<members::Message, replica::Message>;
 
 struct Datagram {
-  std::string cluster{}, name{};   // the sender's
-  std::uint64_t life = 0;
-  std::uint64_t counter = 0;   // grows with each datagram of a life
+  std::string cluster{}, name{};  // of the sender
+  std::uint64_t life = 0;         // number of the sender's incarnation
+  std::uint64_t counter = 0;      // grows with each datagram of an incarnation
   Body body{};
 };
 
 std::string encode(const Datagram& d);
-// None: not of this version, or not of this form.
+// Returns nothing for another version or a malformed datagram.
 std::optional<Datagram> decode(std::string_view bytes);
 
 using Key = std::array<unsigned char, 32>;
-// Any text as a key: its hash.
+// Derives the key from a secret of any length by hashing it.
 Key key_of(std::string_view secret);
 
-// A mark of 16 bytes ahead of the bytes: keyed BLAKE2b (libsodium).
+// Prepends a MAC of 16 bytes: keyed BLAKE2b (libsodium).
 std::string add_mac(const Key& key, std::string_view bytes);
-// What is behind the mark, if the mark is right.
+// Returns the bytes after the MAC, or nothing if the MAC is wrong.
 std::optional<std::string_view> verify_mac(const Key& key, std::string_view datagram);
 
-// Counters that have been seen of each life, so that a datagram counts once: the last 1024, bounded in lives.
+// Drops replayed datagrams: remembers which of the last kWindowSize counters of each incarnation have been
+// received, for a bounded number of incarnations (the least recently used one is evicted).
 class ReplayFilter {
  public:
-  explicit ReplayFilter(std::size_t most_lives = 4096) : most_(most_lives) {}
+  explicit ReplayFilter(std::size_t max_incarnations = 4096) : max_incarnations_(max_incarnations) {}
+  // Whether the datagram is new; it is then recorded as received. Counters older than the window are
+  // rejected.
   bool accept(const std::string& name, std::uint64_t life, std::uint64_t counter);
 
  private:
-  static constexpr std::size_t kWindow = 1024;
+  static constexpr std::size_t kWindowSize = 1024;
   struct Window {
-    std::uint64_t highest = 0, used = 0;
-    std::array<std::uint64_t, kWindow / 64> bits{};
+    std::uint64_t highest = 0, last_used = 0;
+    std::array<std::uint64_t, kWindowSize / 64> bits{};
   };
-  std::map<std::pair<std::string, std::uint64_t>, Window> lives_{};
-  std::uint64_t clock_ = 0;
-  std::size_t most_;
+  std::map<std::pair<std::string, std::uint64_t>, Window> windows_{};
+  std::uint64_t use_counter_ = 0;
+  std::size_t max_incarnations_;
 };
 
 }  // namespace docklift::peers
