--- a/src/peers/peer.cpp
+++ b/src/peers/peer.cpp
@@ -73,7 +73,7 @@
   inherited_ = true;
   now_ = std::max(now_, now);
   if (copies.empty()) return out;
-  const bool whole = copies.front() == '1';
+  const bool complete = copies.front() == '1';
   std::uint64_t epoch = 0;
   copies.remove_prefix(1);
   while (copies.size() >= 8) {
@@ -85,7 +85,7 @@
     for (const auto& [origin, r] : records_.received(now_, d->name, std::get<replica::Message>(d->body)).changed)
       if (r.kind == Kind::epoch) epoch = std::max(epoch, replica::number_of_key(r.value));
   }
-  caught_up_ = whole;
+  caught_up_ = complete;
   if (epoch == 0 || !options_.counts) return out;
   // If counts from before the last loss are still open, this incarnation settles the loss itself, as after
   // any start; otherwise there is nothing to repair.
@@ -395,9 +395,9 @@
   for (const auto& c : from.conflicts) out.log.push_back({"records", "CONFLICT of " + c.origin.name + "/" + hex(c.origin.life) + ": " + c.what});
   for (const auto& [origin, r] : from.changed) {
     if (r.kind == Kind::word && options_.drains) {
-      auto told = words_.heard(r.key);
-      if (!told.empty()) records_.hurry();
-      collect(std::move(told), out);
+      auto overrides = words_.heard(r.key);
+      if (!overrides.empty()) records_.hurry();
+      collect(std::move(overrides), out);
     }
     if (r.kind == Kind::epoch && options_.counts)
       collect(counts_.epoch_heard(now_, replica::number_of_key(r.value)), out);
@@ -424,12 +424,12 @@
   }
 }
 
-void Peer::collect(std::vector<replica::Words::Told>&& told, Actions& out) {
-  for (const auto& t : told)
+void Peer::collect(std::vector<replica::Words::Told>&& overrides, Actions& out) {
+  for (const auto& t : overrides)
     out.log.push_back({"drains", "server " + std::to_string(t.id) +
                                      (t.draining ? " is drained by another node"
                                                  : " serves again according to this node's list")});
-  std::ranges::move(told, std::back_inserter(out.servers));
+  std::ranges::move(overrides, std::back_inserter(out.servers));
 }
 
 std::string Peer::frame(Body body) {
@@ -604,17 +604,18 @@
   members_.set_seeds(std::move(seeds));
 }
 
-Actions Peer::listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries) {
+Actions Peer::listed(Instant now, bool complete, std::uint64_t revision,
+                     const std::vector<replica::Words::Entry>& entries) {
   Actions out;
   now_ = std::max(now_, now);
-  if (whole) server_starts_.clear();
+  if (complete) server_starts_.clear();
   for (const auto& e : entries) {
     if (e.phase == replica::ServerPhase::gone) server_starts_.erase(e.id);
     else server_starts_[e.id] = e.start;
   }
   if (!options_.drains) return out;
   bool changed = false;
-  collect(words_.listed(now_, whole, revision, entries, changed), out);
+  collect(words_.listed(now_, complete, revision, entries, changed), out);
   if (changed) records_.hurry();
   return out;
 }
--- a/src/peers/peer.hpp
+++ b/src/peers/peer.hpp
@@ -104,8 +104,9 @@
   Actions leave(Instant now);
   void set_seeds(std::vector<std::string> seeds);
 
-  // The node's own service discovery has reported the list of servers (`whole`) or changes to it.
-  Actions listed(Instant now, bool whole, std::uint64_t revision, const std::vector<replica::Words::Entry>& entries);
+  // The node's own service discovery has reported the list of servers (`complete`) or changes to it.
+  Actions listed(Instant now, bool complete, std::uint64_t revision,
+                 const std::vector<replica::Words::Entry>& entries);
   // A request attempt at a server of the list has ended.
   void record_attempt(Instant now, std::uint32_t server, bool good);
   bool drained(std::uint32_t server) const { return words_.held(server); }
@@ -154,7 +155,7 @@
   void collect(members::Actions&& from, Actions& out);
   void collect(replica::Out&& from, Actions& out);
   void collect(replica::Counts::Out&& from, Actions& out);
-  void collect(std::vector<replica::Words::Told>&& told, Actions& out);
+  void collect(std::vector<replica::Words::Told>&& overrides, Actions& out);
   void on_member_change(const members::Change& c, Actions& out);
   void send(const std::string& address, Body body, Actions& out);
   void on_vector(const replica::Origin& from, const replica::Message& m);
--- a/src/peers/station.cpp
+++ b/src/peers/station.cpp
@@ -38,8 +38,8 @@
 // Routes the module's calls to the counter store, and the store's answers, through the Peer.
 class Station::InterceptingStore : public snowknot::CountStore {
  public:
-  InterceptingStore(Station& station, Told on_answer, Lost on_lost)
-      : told(std::move(on_answer)), lost(std::move(on_lost)), station_(station) {
+  InterceptingStore(Station& station, Told answer_handler, Lost loss_handler)
+      : on_answer(std::move(answer_handler)), on_lost(std::move(loss_handler)), station_(station) {
     station_.store_ = this;
   }
   ~InterceptingStore() override { station_.store_ = nullptr; }
@@ -49,8 +49,8 @@
   bool tried() const override { return inner->tried(); }
   void move_to(const snowknot::Tcp::endpoint& at) override { inner->move_to(at); }
 
-  const Told told;
-  const Lost lost;
+  const Told on_answer;
+  const Lost on_lost;
   std::unique_ptr<snowknot::CountStore> inner;
 
  private:
@@ -67,8 +67,9 @@
 
 snowknot::StoreFactory Station::wrapped(snowknot::StoreFactory inner) {
   return [this, inner = std::move(inner)](asio::io_context& io, snowknot::Timers& timers, snowknot::Duration limit,
-                                          snowknot::CountStore::Told told, snowknot::CountStore::Lost lost) {
-    auto store = std::make_unique<InterceptingStore>(*this, std::move(told), std::move(lost));
+                                          snowknot::CountStore::Told on_answer,
+                                          snowknot::CountStore::Lost on_lost) {
+    auto store = std::make_unique<InterceptingStore>(*this, std::move(on_answer), std::move(on_lost));
     store->inner = inner(
         io, timers, limit, [this](const snowknot::CountAnswer& a) { carry_out(peer_.store_answered(now(), a)); },
         [this](const snowknot::CountsLost& e) { carry_out(peer_.store_lost(now(), e)); });
@@ -178,9 +179,9 @@
     error_code ignored;  // a datagram dropped by a full buffer is like one lost on the network
     if (bound_ && to) socket_.send_to(asio::buffer(d.bytes), *to, 0, ignored);
   }
-  if (out.lost && store_) store_->lost(*out.lost);
+  if (out.lost && store_) store_->on_lost(*out.lost);
   for (const auto& a : out.answers)
-    if (store_) store_->told(a);
+    if (store_) store_->on_answer(a);
   for (const auto& a : out.adds)
     if (store_) store_->inner->add(a.name, a.amount, a.lifetime);
   if (node_)
@@ -208,17 +209,17 @@
 
 // Applies a drain reported by another node, or its end, to `entries`; a server that isn't among them is
 // appended as this node's own list has it.
-void Station::apply_override(const replica::Words::Told& told, std::vector<Discovery::Entry>& entries) {
-  const ServerId id{told.id};
+void Station::apply_override(const replica::Words::Told& change, std::vector<Discovery::Entry>& entries) {
+  const ServerId id{change.id};
   const auto it = std::ranges::find_if(entries, [&](const auto& e) { return e.info.id == id; });
   if (it != entries.end()) {
-    if (told.draining) it->info.phase = snowknot::Phase::draining;
+    if (change.draining) it->info.phase = snowknot::Phase::draining;
     return;
   }
   const auto known = servers_.find(id);
   if (known == servers_.end()) return;
   entries.push_back(known->second);
-  if (told.draining) entries.back().info.phase = snowknot::Phase::draining;
+  if (change.draining) entries.back().info.phase = snowknot::Phase::draining;
 }
 
 void Station::ended(ServerId server, snowknot::Outcome outcome) {
@@ -228,15 +229,15 @@
 }
 
 void Station::listed(ListKind kind, std::uint64_t revision, std::vector<Discovery::Entry>& entries) {
-  const bool whole = kind != ListKind::changes;
-  if (whole) servers_.clear();
+  const bool complete = kind != ListKind::changes;
+  if (complete) servers_.clear();
   std::vector<replica::Words::Entry> entries_for_peer;
   for (const auto& e : entries) {
     entries_for_peer.push_back(to_list_entry(e.info));
     if (e.info.phase == snowknot::Phase::gone) servers_.erase(e.info.id);
     else servers_[e.info.id] = e;
   }
-  auto out = peer_.listed(now(), whole, revision, entries_for_peer);
+  auto out = peer_.listed(now(), complete, revision, entries_for_peer);
   for (const auto& t : std::exchange(out.servers, {})) apply_override(t, entries);
   carry_out(std::move(out));
 }
--- a/src/peers/station.hpp
+++ b/src/peers/station.hpp
@@ -65,7 +65,7 @@
   void carry_out(Actions out);
   void execute(Actions& out);
   void arm();
-  void apply_override(const replica::Words::Told& told, std::vector<snowknot::Discovery::Entry>& entries);
+  void apply_override(const replica::Words::Told& change, std::vector<snowknot::Discovery::Entry>& entries);
   std::optional<Udp::endpoint> endpoint_of(const std::string& address);
 
   snowknot::asio::io_context& io_;
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -36,9 +36,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, KeptSchedules, ::testing::Values(2, 7, 13, 24, 26, 55, 73, 147, 237, 239, 366, 374, 695));
 
-// Pages of n3 were lost while the nodes settled a loss of the store: copies had the record with which n3 ended
-// the epoch, but lacked records that it had since rewritten under later numbers, and counted as complete.
-// Reduced from seed 3330 of a run with 4 nodes.
+// Pages of n3 were lost while the nodes settled a loss of the store: copies had the record with which n3
+// ended the epoch, but lacked records that it had since rewritten under later numbers, and counted as
+// complete. Reduced from seed 3330 of a run with 4 nodes.
 TEST(FleetWorld, AnEndedEpochIsNotACompleteCopy) {
   const auto v = play(schedule_of(R"(
 nodes = 4
