--- a/src/recovery/stages.cpp
+++ b/src/recovery/stages.cpp
@@ -42,12 +42,12 @@
     if (known.shut > Instant{}) shut = std::max(shut.value_or(Instant{}), known.shut);
     return Release{shut, std::move(why)};
   };
-  if (planted(Plant::released_at_once)) return full({}, "");
+  if (injected(TestFault::released_at_once)) return full({}, "");
   if (known.caught_up && known.nothing_lost) return full({}, "no node failed");
   if (known.caught_up && known.all_accounted_for) return full({}, "all failed nodes are back, with all that they had admitted");
   if (known.caught_up && known.other_serves) return full({}, "another node that knows the counts is serving");
   if (now - entered_ < limits_.verify) return waits_for_ = known.caught_up ? "lives that are over without a last word" : "copies of two others", std::nullopt;
-  if (planted(Plant::time_shuts_nothing)) return full({}, "");
+  if (injected(TestFault::time_shuts_nothing)) return full({}, "");
   return full(now + limits_.clocks, "what the failed nodes had admitted is not known in time: windows that had begun stay closed");
 }
 
--- a/src/replica/beliefs.cpp
+++ b/src/replica/beliefs.cpp
@@ -106,13 +106,13 @@
     records_.each(Kind::server_health, key_of(server.id), [&](const Origin& o, const Record& r) {
       const auto s = parse_server_health(r.value);
       if (!s || s->start != server.start || s->tenths == ServerHealth::kWithdrawn) return;
-      if (std::ranges::find(alive, o) == alive.end() && !planted(Plant::dead_believed)) return;
+      if (std::ranges::find(alive, o) == alive.end() && !injected(TestFault::dead_believed)) return;
       reports.push_back(s->tenths);
     });
-    if (reports.size() < 2 && !(planted(Plant::one_voice_believed) && reports.size() == 1)) continue;
+    if (reports.size() < 2 && !(injected(TestFault::one_voice_believed) && reports.size() == 1)) continue;
     std::ranges::sort(reports, std::greater<>());
     const auto middle =
-        planted(Plant::one_voice_believed) ? reports.back() : reports[(reports.size() - 1) / 2];
+        injected(TestFault::one_voice_believed) ? reports.back() : reports[(reports.size() - 1) / 2];
     if (middle < kHealthy) result.push_back({server.id, middle / 10.0});
   }
   std::ranges::stable_sort(result, {}, &Report::success);
--- a/src/replica/counts.cpp
+++ b/src/replica/counts.cpp
@@ -97,7 +97,7 @@
 // exceed the ceiling.)
 std::int64_t Counts::added_min_of_ended(CountName name) const {
   std::int64_t sum = 0;
-  if (planted(Plant::gone_not_looked_at)) return sum;
+  if (injected(TestFault::gone_not_looked_at)) return sum;
   records_.each(Kind::use, key_of(name), [&](const Origin& o, const Record& r) {
     if (o == records_.self() || !fleet_.gone(o)) return;
     for (const auto& u : parse_uses(r.value)) sum += u.epoch == epoch_ ? u.least() : 0;
@@ -250,7 +250,7 @@
     // numbers.
     all = all && r && number_of_key(r->value) >= epoch_ && records_.complete_at(o) >= r->number;
   }
-  if (planted(Plant::settled_too_early)) all = epoch_end_published_;
+  if (injected(TestFault::settled_too_early)) all = epoch_end_published_;
   const auto since = now - std::max(longest_, Instant(std::chrono::seconds(1))) - limits_.margin;
   const bool unknown = !copies_complete_ || fleet_.lost_since(since) || overflowed_ >= since;
   if (all && !unknown) {
@@ -278,7 +278,7 @@
 Counts::Sums Counts::sums(CountName name) const {
   Sums sum;
   const auto key = key_of(name);
-  const auto alive = planted(Plant::use_of_the_dead_lost) ? fleet_.alive() : std::vector<Origin>{};
+  const auto alive = injected(TestFault::use_of_the_dead_lost) ? fleet_.alive() : std::vector<Origin>{};
   // With a disk, the records of ended incarnations may have a call without its answer, and nothing is removed any more: the upper bound counts.
   const auto count = [&](const Use& u, std::int64_t times, bool most) {
     if (u.epoch < epoch_) {
@@ -289,9 +289,9 @@
   };
   records_.each(Kind::use, key, [&](const Origin& o, const Record& r) {
     if (o == records_.self()) return;  // this node's own sums in ledgers_ are newer
-    if (planted(Plant::use_of_the_dead_lost) && std::ranges::find(alive, o) == alive.end()) return;
-    const bool most = limits_.ahead && fleet_.gone(o) && !planted(Plant::gone_not_looked_at);
-    for (const auto& u : parse_uses(r.value)) count(u, planted(Plant::use_counted_twice) ? 2 : 1, most);
+    if (injected(TestFault::use_of_the_dead_lost) && std::ranges::find(alive, o) == alive.end()) return;
+    const bool most = limits_.ahead && fleet_.gone(o) && !injected(TestFault::gone_not_looked_at);
+    for (const auto& u : parse_uses(r.value)) count(u, injected(TestFault::use_counted_twice) ? 2 : 1, most);
   });
   if (const auto it = ledgers_.find(name); it != ledgers_.end())
     for (const auto& u : it->second.uses) count(u, 1, false);
@@ -299,7 +299,7 @@
     if (r.value.size() == 16 && get_number(r.value, 0) == epoch_) sum.restored += static_cast<std::int64_t>(get_number(r.value, 8));
   };
   records_.each(Kind::restore_done, key, add_restored);
-  if (planted(Plant::told_taken_off_early)) records_.each(Kind::restore_started, key, add_restored);
+  if (injected(TestFault::told_taken_off_early)) records_.each(Kind::restore_started, key, add_restored);
   if (limits_.ahead) {
     const auto it = ledgers_.find(name);
     sum.before += static_cast<std::int64_t>(fleet_.raise(it == ledgers_.end() ? Instant{} : it->second.began));
@@ -330,14 +330,14 @@
     const auto weight = [&](const std::string& member) { return mixed(static_cast<std::uint64_t>(name), member.data(), member.size()); };
     const auto mine = weight(records_.self().name);
     const bool restorer = std::ranges::none_of(alive, [&](const Origin& o) { return weight(o.name) > mine; });
-    if (!restorer && !planted(Plant::told_by_everyone)) continue;
+    if (!restorer && !injected(TestFault::told_by_everyone)) continue;
     bool begun = false;  // by an earlier restorer, which may have failed: whether it was added is not known, so it stays on top
     records_.each(Kind::restore_started, key, [&](const Origin&, const Record& r) {
       begun = begun || (r.value.size() == 16 && get_number(r.value, 0) == epoch_);
     });
     const auto known = sums(name);
     const auto missing = known.before - known.restored;
-    if ((begun && !planted(Plant::told_by_everyone)) || missing <= kRoundingTolerance) continue;
+    if ((begun && !injected(TestFault::told_by_everyone)) || missing <= kRoundingTolerance) continue;
     auto& b = ledgers_[name];
     b.restoring = true;
     if (b.ends == Instant{}) b.ends = ends;
--- a/src/replica/replica.cpp
+++ b/src/replica/replica.cpp
@@ -295,7 +295,7 @@
   auto& s = origins_[page.origin];
   if (s.fenced) return;
   s.last_page_at = now;
-  if (page.from > s.number && !planted(Plant::gap_passed_over)) {  // requests the records in between
+  if (page.from > s.number && !injected(TestFault::gap_passed_over)) {  // requests the records in between
     ++figures_.gaps;
     if (s.asked != Instant{} && now >= s.asked && now - s.asked < limits_.ask_again) return;  // already requested
     wants.push_back({page.origin, s.number});
@@ -312,7 +312,7 @@
   const auto before = s.number;
   for (const auto& r : page.records) {
     if (r.key.size() > limits_.most_value || r.value.size() > limits_.most_value) continue;
-    if (r.number <= s.number && !planted(Plant::older_copy_wins)) {
+    if (r.number <= s.number && !injected(TestFault::older_copy_wins)) {
       // Already held: the same number must have the same content.
       const auto held = s.by_number.find(r.number);
       if (held == s.by_number.end()) continue;
@@ -335,7 +335,7 @@
   }
   if (page.upto > before) s.goal = std::max(s.goal, page.goal);
   s.number = std::max(s.number, page.upto);
-  if (s.number >= s.goal || planted(Plant::moved_passed_over)) s.whole = s.number;
+  if (s.number >= s.goal || injected(TestFault::moved_passed_over)) s.whole = s.number;
   if (s.number > before) s.changed = true;
   else ++figures_.pages_late;
   if (collects_changes_ && s.number > before) changes_.origins.insert(page.origin);
--- a/src/replica/words.cpp
+++ b/src/replica/words.cpp
@@ -70,7 +70,7 @@
   // supersedes.
   for (const auto& [id, e] : list_) {
     const bool named = std::ranges::any_of(entries, [&, i = id](const Entry& n) { return n.id == i; });
-    if (drained_by_others(id) && !planted(Plant::drain_undone)) {
+    if (drained_by_others(id) && !injected(TestFault::drain_undone)) {
       const bool is_new = held_.insert(id).second;
       if (is_new || named) overrides.push_back({id, true});
     } else if (held_.erase(id) > 0) {
--- a/tests/orderings_test.cpp
+++ b/tests/orderings_test.cpp
@@ -174,10 +174,10 @@
 TEST(Orderings, ReturningNodeIsAcceptedInEveryOrderOfRumors) {
   using members::Members;
   using members::State;
-  const members::Life earlier{"x", 10, 1, "X", ""}, next{"x", 11, 2, "X", ""}, sender{"t", 5, 9, "T", ""};
-  const std::vector<members::Rumour> rumours{{earlier, 0, State::alive}, {earlier, 0, State::suspect}, {earlier, 1, State::alive}, {earlier, 1, State::dead},
+  const members::Incarnation earlier{"x", 10, 1, "X", ""}, next{"x", 11, 2, "X", ""}, sender{"t", 5, 9, "T", ""};
+  const std::vector<members::MemberUpdate> updates{{earlier, 0, State::alive}, {earlier, 0, State::suspect}, {earlier, 1, State::alive}, {earlier, 1, State::dead},
                                              {earlier, 1, State::left},  {next, 0, State::alive},     {next, 0, State::suspect}, {next, 1, State::alive}};
-  const auto orders = each_order(rumours.size(), {}, [&](const std::vector<std::size_t>& order) {
+  const auto orders = each_order(updates.size(), {}, [&](const std::vector<std::size_t>& order) {
     Members o({"o", 1, 3, "O", ""}, {}, 1);
     o.begin(kNow, {});
     bool returned = false;
@@ -185,14 +185,14 @@
       members::Message m;
       m.kind = members::Message::Kind::ack;
       m.from = {sender, 0, State::alive};
-      m.rumours = {rumours[e]};
+      m.updates = {updates[e]};
       o.received(kNow, m);
       const auto* x = o.find("x");
-      returned = returned || (x && x->life.number == next.number);
-      ASSERT_TRUE(!returned || x->life.number == next.number);
+      returned = returned || (x && x->incarnation.number == next.number);
+      ASSERT_TRUE(!returned || x->incarnation.number == next.number);
     }
     ASSERT_NE(o.find("x"), nullptr);
-    ASSERT_EQ(o.find("x")->life.number, next.number);
+    ASSERT_EQ(o.find("x")->incarnation.number, next.number);
     ASSERT_EQ(o.find("x")->state, State::alive);
   });
   EXPECT_EQ(orders, 40'320U);
--- a/tests/scripted_peer.hpp
+++ b/tests/scripted_peer.hpp
@@ -29,7 +29,7 @@
 
   // It knows these servers, of one start; and says of attempts at them.
   void knows(const std::vector<replica::Words::Entry>& servers) { carry_out(peer_.listed(now(), true, 1, servers)); }
-  void seen(std::uint32_t server, bool good) { peer_.seen(now(), server, good); }
+  void seen(std::uint32_t server, bool good) { peer_.record_attempt(now(), server, good); }
   const peers::Peer& peer() const { return peer_; }
 
  private:
@@ -46,7 +46,7 @@
     o.records.round = std::chrono::milliseconds(50);
     return o;
   }
-  void carry_out(const peers::Out& out) {
+  void carry_out(const peers::Actions& out) {
     for (const auto& d : out.datagrams) {
       const auto to = snowknot::endpoint_of(d.to);
       snowknot::error_code ignored;
