--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -161,7 +161,7 @@
   test::ScriptedPeer liar(loop.io, "liar", fleet->secret(), {fleet->heard_at(0)});
   ASSERT_TRUE(until([&] { return liar.peer().members().alive() == 3; })) << states();
   const std::vector<std::uint32_t> ids{1, 2, 3, 4};  // of the stand-in: s-00000001 and on
-  std::vector<replica::Words::Entry> list;
+  std::vector<replica::ServerPhases::Entry> list;
   for (const auto id : ids) list.push_back({.id = id});
   liar.knows(list);
   ASSERT_TRUE(until([&] {
--- a/tests/scripted_peer.hpp
+++ b/tests/scripted_peer.hpp
@@ -28,7 +28,7 @@
   ScriptedPeer& operator=(const ScriptedPeer&) = delete;
 
   // It knows these servers, of one start; and says of attempts at them.
-  void knows(const std::vector<replica::Words::Entry>& servers) { carry_out(peer_.listed(now(), true, 1, servers)); }
+  void knows(const std::vector<replica::ServerPhases::Entry>& servers) { carry_out(peer_.listed(now(), true, 1, servers)); }
   void seen(std::uint32_t server, bool good) { peer_.record_attempt(now(), server, good); }
   const peers::Peer& peer() const { return peer_; }
 
--- a/tests/system/configuration_model_test.cpp
+++ b/tests/system/configuration_model_test.cpp
@@ -131,14 +131,14 @@
     fleet::Outgoing out;
     auto entries = out.frame().initChanges().initEntries(1);
     fleet::put(entries[0], fleet::Entry{copy_.position() + 1, fleet::change_of(kind), text});
-    copy_.take(out.frame().asReader().getChanges());
+    copy_.accept(out.frame().asReader().getChanges());
   }
   // Restarts the copy from a snapshot, as a proxy does.
   void restart() {
     const auto snapshot = transfer::decode(transfer::encode(state_)->bytes);
     BOOST_REQUIRE(snapshot.has_value());
     copy_.forget();
-    copy_.take(*snapshot);
+    copy_.accept(*snapshot);
   }
 
   void check() {
