--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# The formatter and the linter over the system's sources, with the configurations in the repository. Both come in one
+# The formatter and the linter over the system's sources, and the formatter over the decision module, its interface and
+# src/members, with the configurations in the repository. Both come in one
 # version, so that the verdict is the same on each machine.
 #
 #   lint.sh BUILD [JOBS]
@@ -16,7 +17,8 @@
 
 echo "lint: $format"
 git ls-files -z 'src/system/*.cpp' 'src/system/*.hpp' 'src/net/*.cpp' 'src/net/*.hpp' 'tests/system/*.cpp' 'tests/system/*.hpp' \
-  'standins/system/*.cpp' 'standins/system/*.hpp' | xargs -0 "$format" --dry-run -Werror
+  'standins/system/*.cpp' 'standins/system/*.hpp' 'src/logic.cpp' 'src/settings.cpp' 'src/helpers.hpp' 'include/snowknot/*.hpp' \
+  'src/members/*.cpp' 'src/members/*.hpp' | xargs -0 "$format" --dry-run -Werror
 
 echo "lint: $tidy"
 cmake -S . -B "$build" -DCMAKE_BUILD_TYPE=Release -DDOCKLIFT_SYSTEM=ON -DCMAKE_DISABLE_PRECOMPILE_HEADERS=ON \
