--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# The formatter and the linter over the system's sources, and the formatter over the decision module, its interface and
-# src/members, with the configurations in the repository. Both come in one
-# version, so that the verdict is the same on each machine.
+# The formatter and the linter over the system's sources, and the formatter over the edge node's decision module, its
+# interface and src/members, with the configurations in the repository. Both come in one version, so that the verdict is
+# the same on each machine.
 #
 #   lint.sh BUILD [JOBS]
 #
